--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
@@ -15,9 +15,10 @@
 from cornelspan_common.ejection import Judgement
 from cornelspan_common.expiring import Expiring
 from cornelspan_common.logs import get_log, set_level
-from cornelspan_passthrough import hops
+from cornelspan_passthrough import messages
 from cornelspan_passthrough.datagrams import DatagramSocket
-from cornelspan_passthrough.delivering import (
+from cornelspan_passthrough.dead_flows import end_dead_flow, end_flows, log_endpoint
+from cornelspan_passthrough.delivery import (
     answer_ask,
     deliver,
     find,
@@ -26,7 +27,14 @@
 )
 from cornelspan_passthrough.endpoint import Endpoint, Hearing, Life, Report
 from cornelspan_passthrough.flows import NO_DOUBT, Doubt, FlowTable, OwnedFlow
-from cornelspan_passthrough.heads import (
+from cornelspan_passthrough.histograms import Histogram
+from cornelspan_passthrough.members import service_tag
+from cornelspan_passthrough.outlier_detection import (
+    is_ejected,
+    judge_packet,
+    probe_refusal,
+)
+from cornelspan_passthrough.packet_headers import (
     BOUNCED,
     FIN,
     RST,
@@ -37,16 +45,12 @@
     client_address,
     flow_text,
 )
-from cornelspan_passthrough.histograms import Histogram
-from cornelspan_passthrough.judging import is_ejected, judge_packet, probe_refusal
-from cornelspan_passthrough.lives import end_dead_flow, end_flows, log_endpoint
-from cornelspan_passthrough.members import service_tag
 from cornelspan_passthrough.pulses import DOWN, DRAINING, Ping, Pong
+from cornelspan_passthrough.request_queue import WaitingLine
 from cornelspan_passthrough.settings import PassthroughAgentSettings, socket_address
 from cornelspan_passthrough.urgency import MILLISECONDS
-from cornelspan_passthrough.waiting import WaitingLine
 
-NO_HOMES = (hops.NOBODY, hops.NOBODY)
+NO_HOMES = (messages.NOBODY, messages.NOBODY)
 # A question waits this long for the endpoint's word, which comes within a round trip.
 ASKED_SECONDS = 2.0
 # Flows are recorded a quarter longer than they may be open, so that no record ends
@@ -125,33 +129,33 @@
     def from_daemon(self, data: bytes, sender: str, now: float) -> None:
         """Take a datagram of another daemon."""
         kind = data[0] if data else 0
-        if kind in (hops.DELIVER, hops.TRY):
+        if kind in (messages.DELIVER, messages.TRY):
             deliver(self, data[1:], kind, sender, now)
-        elif kind == hops.OPEN:
-            hop = hops.decode_open(data)
+        elif kind == messages.OPEN:
+            hop = messages.decode_open(data)
             if hop is None:
                 self.counts["broken_datagrams"] += 1
                 return
             self._open(hop, sender, now)
-        elif kind == hops.ASK:
-            note = hops.decode_note(data)
+        elif kind == messages.ASK:
+            note = messages.decode_note(data)
             if note is not None:
                 self.send(sender, answer_ask(self, note.flow, now))
-        elif kind == hops.FIND:
+        elif kind == messages.FIND:
             find(self, data[1:], sender, now)
-        elif kind == hops.PASSED and len(data) > hops.PASSED_HEAD:
-            origin, packet = hops.decode_passed(data)
-            deliver(self, packet, hops.DELIVER, origin, now)
-        elif kind == hops.RECORD:
-            note = hops.decode_note(data)
+        elif kind == messages.PASSED and len(data) > messages.PASSED_HEAD:
+            origin, packet = messages.decode_passed(data)
+            deliver(self, packet, messages.DELIVER, origin, now)
+        elif kind == messages.RECORD:
+            note = messages.decode_note(data)
             if note is not None:
                 self.directory.put(note.flow, note.agent, now)
-        elif kind == hops.PING:
+        elif kind == messages.PING:
             self._ping(data, sender, now)
         else:
             self.counts["broken_datagrams"] += 1
 
-    def _open(self, hop: hops.Open, origin: str, now: float) -> None:
+    def _open(self, hop: messages.Open, origin: str, now: float) -> None:
         """Offer a first packet to the endpoint, or hand it back at once."""
         head = self.codec.read_client(hop.packet)
         if head is None:
@@ -161,7 +165,7 @@
         if known is not None and not known.ended:
             # A repeat: the endpoint has the flow and answers as it did before.
             known.origin = origin
-            self.to_endpoint(hop.packet, hops.OPEN)
+            self.to_endpoint(hop.packet, messages.OPEN)
             return
         refusal = self._refusal(hop, now)
         if refusal:
@@ -170,21 +174,23 @@
         owned = self.flows.start(head.flow, origin, hop.homes, now)
         owned.urgency = hop.urgency
         self.counts["flows_offered"] += 1
-        self.to_endpoint(hop.packet, hops.OPEN)
+        self.to_endpoint(hop.packet, messages.OPEN)
 
-    def _refusal(self, hop: hops.Open, now: float) -> int:
+    def _refusal(self, hop: messages.Open, now: float) -> int:
         """Return why the endpoint takes no new flow now; 0 if it does."""
         if hop.service_tag != self.tag:
-            return hops.FOREIGN_SERVICE
+            return messages.FOREIGN_SERVICE
         if self.endpoint.state == DRAINING:
-            return hops.ENDPOINT_LEAVES
+            return messages.ENDPOINT_LEAVES
         if self.endpoint.state == DOWN or self.stopping:
-            return hops.ENDPOINT_DOWN
+            return messages.ENDPOINT_DOWN
         if self.endpoint.is_foreign:
-            return hops.ENDPOINT_FOREIGN
+            return messages.ENDPOINT_FOREIGN
         if hop.is_final:
             return 0
-        return hops.ENDPOINT_BUSY if self._is_busy(now) else probe_refusal(self, now)
+        return (
+            messages.ENDPOINT_BUSY if self._is_busy(now) else probe_refusal(self, now)
+        )
 
     def _is_busy(self, now: float) -> bool:
         """Whether new flows should rather go elsewhere.
@@ -201,18 +207,20 @@
             "flow handed back",
             extra={
                 "flow": flow_text(flow),
-                "reason": hops.REASONS[reason],
+                "reason": messages.REASONS[reason],
                 "balancer": origin,
                 "life": str(self.endpoint.life),
             },
         )
         self.counts["flows_handed_back"] += 1
-        note = hops.encode_note(hops.REFUSED, flow, detail=reason, packet=packet)
+        note = messages.encode_note(
+            messages.REFUSED, flow, detail=reason, packet=packet
+        )
         self.send(origin, note)
 
     def tell_owner(self, flow: int, origin: str) -> None:
         """Tell a balancer that this agent owns a flow."""
-        note = hops.encode_note(hops.OWNED, flow, agent=self.own_address)
+        note = messages.encode_note(messages.OWNED, flow, agent=self.own_address)
         self.send(origin, note)
 
     def _ping(self, data: bytes, sender: str, now: float) -> None:
@@ -242,7 +250,7 @@
             is_ejected(self, now),
             round(self.flows.pace_now(now) * MILLISECONDS),
         )
-        return bytes((hops.PONG,)) + msgspec.msgpack.encode(pong)
+        return bytes((messages.PONG,)) + msgspec.msgpack.encode(pong)
 
     # Packets of the endpoint
 
@@ -289,8 +297,10 @@
         if owned.origin:
             self.tell_owner(flow, owned.origin)
         for home in owned.homes:
-            if home not in (hops.NOBODY, self.own_address):
-                note = hops.encode_note(hops.RECORD, flow, agent=self.own_address)
+            if home not in (messages.NOBODY, self.own_address):
+                note = messages.encode_note(
+                    messages.RECORD, flow, agent=self.own_address
+                )
                 self.send(address_text(home), note)
 
     def _bounced(self, head: Head, data: bytes, now: float) -> None:
@@ -299,7 +309,7 @@
         if head.flags & SYN:
             owned = self.flows.remove(head.flow)
             if owned is not None:
-                self._refuse(head.flow, hops.ENDPOINT_FULL, packet, owned.origin)
+                self._refuse(head.flow, messages.ENDPOINT_FULL, packet, owned.origin)
             return
         owned = self.flows.get(head.flow)
         if owned is not None and owned.opened:
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent_sockets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent_sockets.py
@@ -6,8 +6,8 @@
 
 from cornelspan_passthrough.agent import Agent
 from cornelspan_passthrough.datagrams import datagram_socket
-from cornelspan_passthrough.heads import PacketCodec
-from cornelspan_passthrough.listening import listening
+from cornelspan_passthrough.listeners import listening
+from cornelspan_passthrough.packet_headers import PacketCodec
 from cornelspan_passthrough.settings import PassthroughAgentSettings, socket_address
 
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
@@ -15,21 +15,21 @@
 from cornelspan_common.learned import Learned
 from cornelspan_common.logs import get_log, set_level
 from cornelspan_common.tokens import TokenBucket
-from cornelspan_passthrough import hops
+from cornelspan_passthrough import messages
 from cornelspan_passthrough.configuration import RouteTable
 from cornelspan_passthrough.datagrams import DatagramSocket
 from cornelspan_passthrough.first_packets import open_flow, place_anew, place_held
-from cornelspan_passthrough.heads import (
+from cornelspan_passthrough.histograms import Histogram
+from cornelspan_passthrough.homes import Homes
+from cornelspan_passthrough.members import AGENT, BALANCER, Member, Members
+from cornelspan_passthrough.openings import Openings
+from cornelspan_passthrough.packet_headers import (
     SYN,
     PacketCodec,
     address_text,
     client_address,
     is_address,
 )
-from cornelspan_passthrough.histograms import Histogram
-from cornelspan_passthrough.homes import Homes
-from cornelspan_passthrough.members import AGENT, BALANCER, Member, Members
-from cornelspan_passthrough.openings import Openings
 from cornelspan_passthrough.placing import Choose, choose, takes_flows
 from cornelspan_passthrough.pruning import Silences, is_pruner
 from cornelspan_passthrough.pulses import Hello, Ping, Pong, Pulses
@@ -45,7 +45,13 @@
 )
 from cornelspan_passthrough.settings import PassthroughBalancerSettings, socket_address
 
-NOTES = (hops.REFUSED, hops.NOT_HERE, hops.OWNED, hops.UNKNOWN, hops.MAYBE)
+NOTES = (
+    messages.REFUSED,
+    messages.NOT_HERE,
+    messages.OWNED,
+    messages.UNKNOWN,
+    messages.MAYBE,
+)
 # Balancers ping each other at the pace of their fleet, some seconds apart at the most.
 BALANCER_SILENT_SECONDS = 10.0
 
@@ -114,7 +120,7 @@
             return
         owner = self.owners.owner(head.flow)
         if owner:
-            self.send(owner, hops.encode_packet(hops.DELIVER, data))
+            self.send(owner, messages.encode_packet(messages.DELIVER, data))
             return
         find_owner(self, head, data, now)
 
@@ -128,38 +134,38 @@
     def from_daemon(self, data: bytes, sender: str, now: float) -> None:
         """Take a datagram of another daemon."""
         kind = data[0] if data else 0
-        if kind == hops.PONG:
+        if kind == messages.PONG:
             self._pong(data, now)
-        elif kind == hops.PING:
+        elif kind == messages.PING:
             self._ping(data, now)
         elif kind in NOTES:
-            note = hops.decode_note(data)
+            note = messages.decode_note(data)
             if note is None:
                 self.counts["broken_datagrams"] += 1
                 return
             self._note(note, sender, now)
-        elif kind == hops.HELLO:
+        elif kind == messages.HELLO:
             self._hello(data, sender, now)
-        elif kind == hops.GONE:
+        elif kind == messages.GONE:
             self._gone(sender)
         else:
             self.counts["broken_datagrams"] += 1
 
-    def _note(self, note: hops.FlowNote, sender: str, now: float) -> None:
-        if note.kind == hops.OWNED:
+    def _note(self, note: messages.FlowNote, sender: str, now: float) -> None:
+        if note.kind == messages.OWNED:
             owner = address_text(note.agent)
             self.openings.confirm(note.flow, owner)
             owner_found(self, note.flow, owner, now)
-        elif note.kind == hops.UNKNOWN:
+        elif note.kind == messages.UNKNOWN:
             search = self.searches.get(note.flow)
             if search is not None and not search.asked:
                 ask_next(self, note.flow, search, now)
-        elif note.kind == hops.NOT_HERE:
+        elif note.kind == messages.NOT_HERE:
             owner_denied(self, note.flow, sender, note.packet, now)
-        elif note.kind == hops.MAYBE:
+        elif note.kind == messages.MAYBE:
             search = self.searches.get(note.flow)
             if search is not None:
-                self.send(sender, hops.encode_packet(hops.TRY, search.packet))
+                self.send(sender, messages.encode_packet(messages.TRY, search.packet))
         else:
             place_anew(self, note, sender, now)
 
@@ -260,7 +266,7 @@
             self.routes.version,
             address in self.members.listed or not self.members.revision,
         )
-        self.send(address, bytes((hops.PING,)) + msgspec.msgpack.encode(ping))
+        self.send(address, bytes((messages.PING,)) + msgspec.msgpack.encode(ping))
 
     def is_ready(self) -> bool:
         """Whether routers may send packets here.
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
@@ -7,7 +7,7 @@
 
 from cornelspan_passthrough.balancer import Balancer
 from cornelspan_passthrough.datagrams import datagram_socket
-from cornelspan_passthrough.heads import PacketCodec
+from cornelspan_passthrough.packet_headers import PacketCodec
 from cornelspan_passthrough.settings import PassthroughBalancerSettings, socket_address
 
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/configuration.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/configuration.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from cornelspan_common.hashing import flow_key
-from cornelspan_passthrough.heads import route_of
+from cornelspan_passthrough.packet_headers import route_of
 
 HASH_RANGE = 1 << 64
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/lives.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/dead_flows.py
@@ -4,7 +4,7 @@
 
 from cornelspan_common.logs import get_log
 from cornelspan_passthrough.flows import OwnedFlow
-from cornelspan_passthrough.heads import client_address, flow_text
+from cornelspan_passthrough.packet_headers import client_address, flow_text
 from cornelspan_passthrough.pulses import DOWN, DRAINING, READY
 
 if TYPE_CHECKING:
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivering.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivery.py
@@ -3,13 +3,13 @@
 from typing import TYPE_CHECKING
 
 from cornelspan_common.logs import get_log
-from cornelspan_passthrough import hops
+from cornelspan_passthrough import messages
 from cornelspan_passthrough.flows import NO_REQUEST, Doubt, OwnedFlow, is_repeat
-from cornelspan_passthrough.heads import RST, Head, address_text, flow_text
-from cornelspan_passthrough.judging import judge_lost_requests
+from cornelspan_passthrough.outlier_detection import judge_lost_requests
+from cornelspan_passthrough.packet_headers import RST, Head, address_text, flow_text
 from cornelspan_passthrough.pulses import DOWN
+from cornelspan_passthrough.request_queue import Held
 from cornelspan_passthrough.urgency import times
-from cornelspan_passthrough.waiting import Held
 
 if TYPE_CHECKING:
     from cornelspan_passthrough.agent import Agent
@@ -33,7 +33,7 @@
     if not _may_hold_unknown(agent, now):
         say_not_here(agent, head.flow, origin, packet)
         return
-    _note_question(agent, head.flow, Doubt(origin, kind == hops.TRY, now))
+    _note_question(agent, head.flow, Doubt(origin, kind == messages.TRY, now))
     agent.to_endpoint(packet, kind)
 
 
@@ -67,7 +67,7 @@
         agent.flows.end_request(head.flow, owned)
         agent.waiting.remove(head.flow)
     agent.flows.sent(head.flow, owned, head, now)
-    agent.to_endpoint(packet, hops.DELIVER)
+    agent.to_endpoint(packet, messages.DELIVER)
 
 
 def _begins_request(owned: OwnedFlow, head: Head) -> bool:
@@ -106,7 +106,7 @@
             head = agent.codec.read_client(packet)
             if head is not None:
                 agent.flows.sent(head.flow, owned, head, now)
-                agent.to_endpoint(packet, hops.DELIVER)
+                agent.to_endpoint(packet, messages.DELIVER)
 
 
 def find(agent: "Agent", packet: bytes, origin: str, now: float) -> None:
@@ -117,25 +117,25 @@
         return
     if agent.flows.get(head.flow) is not None:
         agent.tell_owner(head.flow, origin)
-        deliver(agent, packet, hops.DELIVER, origin, now)
+        deliver(agent, packet, messages.DELIVER, origin, now)
         return
     owner = agent.directory.get(head.flow, now)
     if owner is None or owner == agent.own_address:
-        agent.send(origin, hops.encode_note(hops.UNKNOWN, head.flow))
+        agent.send(origin, messages.encode_note(messages.UNKNOWN, head.flow))
         return
-    agent.send(origin, hops.encode_note(hops.OWNED, head.flow, agent=owner))
+    agent.send(origin, messages.encode_note(messages.OWNED, head.flow, agent=owner))
     # The balancer sends what follows to the owner; this packet goes with the name,
     # as coming from it, so that the owner's word goes to the balancer too.
-    agent.send(address_text(owner), hops.encode_passed(packet, origin))
+    agent.send(address_text(owner), messages.encode_passed(packet, origin))
 
 
 def answer_ask(agent: "Agent", flow: int, now: float) -> bytes:
     """Return the answer to a balancer that seeks the owner of a flow."""
     if agent.flows.get(flow) is not None:
-        return hops.encode_note(hops.OWNED, flow, agent=agent.own_address)
+        return messages.encode_note(messages.OWNED, flow, agent=agent.own_address)
     if _may_hold_unknown(agent, now):
-        return hops.encode_note(hops.MAYBE, flow)
-    return hops.encode_note(hops.NOT_HERE, flow)
+        return messages.encode_note(messages.MAYBE, flow)
+    return messages.encode_note(messages.NOT_HERE, flow)
 
 
 def _may_hold_unknown(agent: "Agent", now: float) -> bool:
@@ -168,4 +168,4 @@
     back by each of many agents that were tried, it filled the links of small VMs.
     """
     agent.counts["flows_not_here"] += 1
-    agent.send(origin, hops.encode_note(hops.NOT_HERE, flow, packet=packet))
+    agent.send(origin, messages.encode_note(messages.NOT_HERE, flow, packet=packet))
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
@@ -4,11 +4,11 @@
 from typing import TYPE_CHECKING
 
 from cornelspan_common.logs import get_log
-from cornelspan_passthrough import hops
+from cornelspan_passthrough import messages
 from cornelspan_passthrough.configuration import Route, services_in_order
-from cornelspan_passthrough.heads import Head, flow_text
 from cornelspan_passthrough.members import service_tag
 from cornelspan_passthrough.openings import CLIENT_SECONDS, HELD_SECONDS, Opening
+from cornelspan_passthrough.packet_headers import Head, flow_text
 from cornelspan_passthrough.placing import REFUSED_SECONDS, Candidate
 from cornelspan_passthrough.pulses import Pulse
 from cornelspan_passthrough.urgency import MILLISECONDS, Urgency
@@ -220,7 +220,7 @@
     """Send a first packet to the agent that was chosen for it."""
     tag = service_tag(opening.service)
     homes = [int(IPv4Address(home)) for home in balancer.homes.of(flow)]
-    first, second = (*homes, hops.NOBODY, hops.NOBODY)[:2]
+    first, second = (*homes, messages.NOBODY, messages.NOBODY)[:2]
     waited = round((now - opening.began_at) * MILLISECONDS)
     urgency = Urgency(
         route.priority,
@@ -228,8 +228,8 @@
         route.timeout_milliseconds,
         waited,
     )
-    hop = hops.Open(urgency, tag, (first, second), opening.is_final, data)
-    balancer.send(opening.owner, hops.encode_open(hop))
+    hop = messages.Open(urgency, tag, (first, second), opening.is_final, data)
+    balancer.send(opening.owner, messages.encode_open(hop))
 
 
 def _refuse(balancer: "Balancer", flow: int, reason: str, **inputs: str | int) -> None:
@@ -241,7 +241,7 @@
 
 
 def place_anew(
-    balancer: "Balancer", note: hops.FlowNote, sender: str, now: float
+    balancer: "Balancer", note: messages.FlowNote, sender: str, now: float
 ) -> None:
     """Place a first packet anew that an endpoint has turned away."""
     head = balancer.codec.read_client(note.packet)
@@ -252,7 +252,7 @@
         extra={
             "flow": flow_text(note.flow),
             "agent": sender,
-            "reason": hops.REASONS.get(note.detail, "unknown"),
+            "reason": messages.REASONS.get(note.detail, "unknown"),
         },
     )
     balancer.counts["flows_turned_away"] += 1
@@ -260,7 +260,7 @@
     route = balancer.routes.route(note.flow)
     if opening is None or route is None or opening.owner != sender:
         return
-    if note.detail in (hops.ENDPOINT_BUSY, hops.ENDPOINT_PROBED):
+    if note.detail in (messages.ENDPOINT_BUSY, messages.ENDPOINT_PROBED):
         opening.busy.add(sender)
     else:
         opening.refused.add(sender)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cornelspan_passthrough.heads import Head
 from cornelspan_passthrough.histograms import Histogram
+from cornelspan_passthrough.packet_headers import Head
 from cornelspan_passthrough.urgency import UNKNOWN, Urgency
 
 NO_REQUEST = 0.0
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/greeting.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/hello.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from cornelspan_passthrough.datagrams import DatagramSocket
-from cornelspan_passthrough.hops import HELLO
 from cornelspan_passthrough.members import Member
+from cornelspan_passthrough.messages import HELLO
 from cornelspan_passthrough.pulses import Hello
 from cornelspan_passthrough.settings import PassthroughSettings, socket_address
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/http.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/http.py
@@ -7,8 +7,8 @@
 from tornado.httpserver import HTTPServer
 from tornado.httputil import HTTPHeaders, HTTPServerRequest, ResponseStartLine
 
-from cornelspan_passthrough.calls import Answer, Call, Handler
-from cornelspan_passthrough.listening import listening
+from cornelspan_passthrough.http_messages import Answer, Call, Handler
+from cornelspan_passthrough.listeners import listening
 
 
 @contextmanager
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/metrics.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/metrics.py
@@ -8,8 +8,8 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from cornelspan_passthrough.calls import Answer
 from cornelspan_passthrough.histograms import Histogram
+from cornelspan_passthrough.http_messages import Answer
 
 if TYPE_CHECKING:
     from cornelspan_passthrough.agent import Agent
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/judging.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/outlier_detection.py
@@ -12,9 +12,9 @@
 
 from cornelspan_common.ejection import Standing
 from cornelspan_common.logs import get_log
-from cornelspan_passthrough import hops
+from cornelspan_passthrough import messages
 from cornelspan_passthrough.flows import NO_REQUEST, OwnedFlow
-from cornelspan_passthrough.heads import FIN, RST, Head
+from cornelspan_passthrough.packet_headers import FIN, RST, Head
 
 if TYPE_CHECKING:
     from cornelspan_passthrough.agent import Agent
@@ -88,4 +88,4 @@
     if agent.judgement.standing(now) is not Standing.PROBING:
         return 0
     probes = agent.flows.running + agent.flows.opened_since(now - PROBE_SECONDS)
-    return hops.ENDPOINT_PROBED if probes else 0
+    return messages.ENDPOINT_PROBED if probes else 0
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
@@ -8,7 +8,6 @@
 from cornelspan_common.logs import get_log
 from cornelspan_common.tasks import task_group
 from cornelspan_passthrough.balancer import Balancer
-from cornelspan_passthrough.calls import BINARY, NOT_FOUND, Answer, Call, Handler
 from cornelspan_passthrough.fetching import fetch_from_peer
 from cornelspan_passthrough.following import (
     catch_up,
@@ -16,8 +15,15 @@
     follow_members,
     prune,
 )
-from cornelspan_passthrough.greeting import greet
+from cornelspan_passthrough.hello import greet
 from cornelspan_passthrough.http import http_server
+from cornelspan_passthrough.http_messages import (
+    BINARY,
+    NOT_FOUND,
+    Answer,
+    Call,
+    Handler,
+)
 from cornelspan_passthrough.listing import list_member
 from cornelspan_passthrough.members import BALANCER, Member
 from cornelspan_passthrough.metrics import balancer_page
@@ -29,7 +35,7 @@
     Backoff,
     OpenStore,
 )
-from cornelspan_passthrough.waking import Suspensions
+from cornelspan_passthrough.suspension import Suspensions
 
 # Searches wait 40 ms for a home; looking every 20 ms finds them late by half at most.
 TICK_SECONDS = 0.02
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/searching.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/searching.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from cornelspan_common.logs import get_log
-from cornelspan_passthrough import hops
-from cornelspan_passthrough.heads import RST, SYN, Head, flow_text
+from cornelspan_passthrough import messages
+from cornelspan_passthrough.packet_headers import RST, SYN, Head, flow_text
 from cornelspan_passthrough.searches import Search
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
     while search.homes:
         home = search.homes.pop(0)
         if balancer.pulses.is_answering(home):
-            balancer.send(home, hops.encode_packet(hops.FIND, search.packet))
+            balancer.send(home, messages.encode_packet(messages.FIND, search.packet))
             return
     search.is_queued = True
     ask_all(balancer, flow, search, now)
@@ -62,7 +62,7 @@
 
 def _ask(balancer: "Balancer", flow: int, agents: Iterable[str]) -> None:
     for address in agents:
-        balancer.send(address, hops.encode_note(hops.ASK, flow))
+        balancer.send(address, messages.encode_note(messages.ASK, flow))
 
 
 def ask_newcomer(balancer: "Balancer", address: str) -> None:
@@ -81,16 +81,16 @@
     balancer.search_times.observe(now - search.started_at)
     if search.asked:
         _correct_homes(balancer, flow, owner)
-        balancer.send(owner, hops.encode_packet(hops.DELIVER, search.packet))
+        balancer.send(owner, messages.encode_packet(messages.DELIVER, search.packet))
     for packet in search.waiting:
-        balancer.send(owner, hops.encode_packet(hops.DELIVER, packet))
+        balancer.send(owner, messages.encode_packet(messages.DELIVER, packet))
 
 
 def _correct_homes(balancer: "Balancer", flow: int, owner: str) -> None:
     """Have the homes record the owner that they did not know."""
     agent = int(IPv4Address(owner))
     for home in balancer.homes.of(flow):
-        balancer.send(home, hops.encode_note(hops.RECORD, flow, agent=agent))
+        balancer.send(home, messages.encode_note(messages.RECORD, flow, agent=agent))
 
 
 def owner_denied(
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment.py
@@ -17,7 +17,7 @@
 
 from cornelspan_common.ejection import EjectionPolicy
 from cornelspan_passthrough.configuration import Configuration, Route, Share
-from cornelspan_passthrough.heads import route_number
+from cornelspan_passthrough.packet_headers import route_number
 from cornelspan_standins.experiment_ablations import without
 from cornelspan_standins.experiment_callers import Asked, Callers
 from cornelspan_standins.experiment_ideal import Oracle
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_ablations.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_ablations.py
@@ -18,15 +18,15 @@
 from cornelspan_passthrough import (
     agent,
     balancer,
-    delivering,
+    dead_flows,
+    delivery,
     first_packets,
     flows,
-    lives,
     placing,
     searching,
 )
 from cornelspan_passthrough.homes import Homes
-from cornelspan_passthrough.waiting import WaitingLine
+from cornelspan_passthrough.request_queue import WaitingLine
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
     "holding": (Change(first_packets, "_knows_agents", lambda *_: True),),
     # Telling clients of dead flows.
     "dead-flows": (
-        Change(lives, "end_dead_flow", _forget),
+        Change(dead_flows, "end_dead_flow", _forget),
         Change(agent, "end_dead_flow", _forget),
         Change(searching, "end_if_dead", _nothing),
         Change(balancer, "end_if_dead", _nothing),
@@ -67,7 +67,7 @@
     # Agents that record owners of flows.
     "homes": (Change(Homes, "of", lambda self, flow: ()),),
     # Endpoints that may hold flows of before their agent's start.
-    "doubts": (Change(delivering, "_may_hold_unknown", lambda *_: False),),
+    "doubts": (Change(delivery, "_may_hold_unknown", lambda *_: False),),
     # Requests that are taken for lost after a time.
     "lost-requests": (Change(flows, "LOST_REQUEST_SECONDS", math.inf),),
     # Dropping requests whose callers have given up.
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_ideal.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_ideal.py
@@ -13,7 +13,13 @@
 from collections.abc import Iterable, Mapping
 
 from cornelspan_passthrough.balancer import Balancer
-from cornelspan_passthrough.heads import PORT_BITS, PORT_MASK, ROUTE_BITS, RST, SYN
+from cornelspan_passthrough.packet_headers import (
+    PORT_BITS,
+    PORT_MASK,
+    ROUTE_BITS,
+    RST,
+    SYN,
+)
 from cornelspan_passthrough.placing import Candidate
 from cornelspan_shirakaba.packets import CODEC
 from cornelspan_standins.packet_world import PACKETS_PORT, PacketWorld
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_policies.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_policies.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from cornelspan_passthrough.placing import Candidate, Choose, choose, takes_flows
-from cornelspan_passthrough.waiting import Held, Order, on_time_first
+from cornelspan_passthrough.request_queue import Held, Order, on_time_first
 
 # More than any endpoint's slots and queue: nothing waits at the agent then.
 NO_LINE = 1_000_000
--- a/packages/cornelspan-standins/src/cornelspan_standins/packet_ends.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/packet_ends.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from cornelspan_passthrough.heads import flow_number
+from cornelspan_passthrough.packet_headers import flow_number
 from cornelspan_shirakaba import packets
 from cornelspan_shirakaba.packets import HEAD, HEAD_BYTES
 
--- a/packages/cornelspan-standins/src/cornelspan_standins/packet_world.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/packet_world.py
@@ -21,10 +21,10 @@
 from cornelspan_passthrough.agent import Agent
 from cornelspan_passthrough.balancer import Balancer
 from cornelspan_passthrough.configuration import Configuration, Route, Share
-from cornelspan_passthrough.delivering import release
+from cornelspan_passthrough.delivery import release
 from cornelspan_passthrough.endpoint import Life, Report
-from cornelspan_passthrough.heads import route_number
 from cornelspan_passthrough.members import AGENT, BALANCER, Member
+from cornelspan_passthrough.packet_headers import route_number
 from cornelspan_passthrough.running_balancer import NEWCOMER_SECONDS
 from cornelspan_passthrough.settings import (
     ObjectStoreSettings,
--- a/tests/test_passthrough_dead_flows.py
+++ b/tests/test_passthrough_dead_flows.py
@@ -3,7 +3,7 @@
 import pytest
 
 from cornelspan_common.tokens import TokenBucket
-from cornelspan_passthrough import hops
+from cornelspan_passthrough import messages
 from cornelspan_passthrough.members import Members
 from cornelspan_standins.packet_world import INTERNAL_PORT
 from passthrough_world import BALANCERS, ORDERS, RECEIPTS, owner_of, small_world
@@ -214,7 +214,9 @@
         world.endpoints[address].flows.clear()
         world.start_agent(address)
     asked = []
-    world.lost = lambda source, target, data: data[0] == hops.ASK and asked.append(1)
+    world.lost = lambda source, target, data: (
+        data[0] == messages.ASK and asked.append(1)
+    )
     balancer = world.balancers[BALANCERS[1]]
     balancer.questions = TokenBucket(rate=100.0, burst=20.0)
     for client in clients:
--- a/tests/test_passthrough_early.py
+++ b/tests/test_passthrough_early.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from cornelspan_passthrough.calls import Answer
 from cornelspan_passthrough.datagrams import datagram_socket
-from cornelspan_passthrough.early import import_while_serving
 from cornelspan_passthrough.http import http_answers
-from cornelspan_passthrough.listening import listening
+from cornelspan_passthrough.http_messages import Answer
+from cornelspan_passthrough.listeners import listening
+from cornelspan_passthrough.startup import import_while_serving
 
 WAIT = """
 import builtins
--- a/tests/test_passthrough_flows.py
+++ b/tests/test_passthrough_flows.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cornelspan_passthrough import hops
+from cornelspan_passthrough import messages
 from cornelspan_standins.packet_world import INTERNAL_PORT
 from passthrough_world import BALANCERS, ORDERS, owner_of, small_world
 
@@ -111,7 +111,7 @@
     def lost(source, target, data):
         to_client = target[0] == "100.64.0.7"
         to_balancer = target == (BALANCERS[0], INTERNAL_PORT)
-        told = to_balancer and data[0] == hops.OWNED
+        told = to_balancer and data[0] == messages.OWNED
         return losing and (to_client or told)
 
     world.lost = lost
--- a/tests/test_passthrough_lives.py
+++ b/tests/test_passthrough_lives.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from cornelspan_passthrough.calls import Call
+from cornelspan_passthrough.http_messages import Call
 from cornelspan_passthrough.running_agent import answer
 from cornelspan_shirakaba.calls import HEARTBEAT, LEAVE, read_call
 from passthrough_world import BALANCERS, ORDERS, owner_of, small_world
--- a/tests/test_passthrough_placing.py
+++ b/tests/test_passthrough_placing.py
@@ -3,7 +3,7 @@
 import random
 
 from cornelspan_passthrough.flows import FlowTable
-from cornelspan_passthrough.heads import ACK, Head
+from cornelspan_passthrough.packet_headers import ACK, Head
 from cornelspan_passthrough.placing import Candidate, choose
 from cornelspan_passthrough.pulses import DOWN, DRAINING, READY, Pong, Pulse
 from cornelspan_standins.packet_world import PacketWorld
--- a/tests/test_passthrough_waiting.py
+++ b/tests/test_passthrough_waiting.py
@@ -1,9 +1,9 @@
 """The line of requests before a full endpoint."""
 
 from cornelspan_passthrough.flows import FlowTable
-from cornelspan_passthrough.heads import ACK, Head
+from cornelspan_passthrough.packet_headers import ACK, Head
+from cornelspan_passthrough.request_queue import LIMIT, Held, WaitingLine
 from cornelspan_passthrough.urgency import Times, Urgency, times
-from cornelspan_passthrough.waiting import LIMIT, Held, WaitingLine
 from cornelspan_standins.packet_world import PacketWorld
 
 BALANCER = "10.1.0.10"
--- a/tests/test_shirakaba_records.py
+++ b/tests/test_shirakaba_records.py
@@ -5,8 +5,8 @@
 from hypothesis import given, strategies as st
 from result import Err, Ok
 
-from cornelspan_passthrough.calls import Call
 from cornelspan_passthrough.endpoint import Life
+from cornelspan_passthrough.http_messages import Call
 from cornelspan_passthrough.members import Member, Members
 from cornelspan_passthrough.running_agent import Left, Refused
 from cornelspan_shirakaba.calls import HEARTBEAT, LEAVE, read_call
