--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
@@ -17,53 +17,58 @@
 from cornelspan_common.logs import get_log, set_level
 from cornelspan_passthrough import messages
 from cornelspan_passthrough.datagrams import DatagramSocket
-from cornelspan_passthrough.dead_flows import end_dead_flow, end_flows, log_endpoint
+from cornelspan_passthrough.dead_flows import log_endpoint, reset_dead_flow, reset_flows
 from cornelspan_passthrough.delivery import (
     answer_ask,
-    deliver,
-    find,
-    release,
-    say_not_here,
+    forward_packet,
+    forward_to_owner,
+    release_requests,
+    send_not_here,
+)
+from cornelspan_passthrough.endpoint import Endpoint, Incarnation, Report, ReportOutcome
+from cornelspan_passthrough.flows import (
+    NO_UNCONFIRMED_PACKET,
+    FlowTable,
+    OwnedFlow,
+    UnconfirmedPacket,
 )
-from cornelspan_passthrough.endpoint import Endpoint, Hearing, Life, Report
-from cornelspan_passthrough.flows import NO_DOUBT, Doubt, FlowTable, OwnedFlow
 from cornelspan_passthrough.histograms import Histogram
 from cornelspan_passthrough.members import service_tag
 from cornelspan_passthrough.outlier_detection import (
     is_ejected,
-    judge_packet,
-    probe_refusal,
+    probe_rejection_reason,
+    record_packet,
 )
 from cornelspan_passthrough.packet_headers import (
     BOUNCED,
     FIN,
     RST,
     SYN,
-    Head,
     PacketCodec,
+    PacketHeader,
     address_text,
     client_address,
     flow_text,
 )
 from cornelspan_passthrough.pulses import DOWN, DRAINING, Ping, Pong
-from cornelspan_passthrough.request_queue import WaitingLine
+from cornelspan_passthrough.request_queue import RequestQueue
 from cornelspan_passthrough.settings import PassthroughAgentSettings, socket_address
 from cornelspan_passthrough.urgency import MILLISECONDS
 
-NO_HOMES = (messages.NOBODY, messages.NOBODY)
+NO_HOMES = (messages.NO_ADDRESS, messages.NO_ADDRESS)
 # A question waits this long for the endpoint's word, which comes within a round trip.
-ASKED_SECONDS = 2.0
+UNCONFIRMED_SECONDS = 2.0
 # Flows are recorded a quarter longer than they may be open, so that no record ends
 # before its flow does.
-RECORD_MARGIN = 1.25
+RETENTION_FACTOR = 1.25
 # Requests at the endpoint beyond those it works on. With one, a slot that becomes free
 # is filled at once; each further one would wait where no priority counts.
-QUEUED_REQUESTS = 1
+DEFAULT_QUEUED_REQUESTS = 1
 # Work for this many times its slots is what an endpoint may have before new flows are
 # sent on: a second round beside the one that runs.
 BUSY_FACTOR = 2
 # A flow's first request follows its first packet after a round trip to the client.
-COMING_SECONDS = 0.02
+FIRST_REQUEST_SECONDS = 0.02
 
 log = get_log(__name__)
 
@@ -73,7 +78,7 @@
     """State and decisions of one agent; its sockets are set when it runs.
 
     ``started_at`` is the loop's time of the start: flows that opened earlier are
-    unknown here while the endpoint may hold them. ``asked`` holds each flow in doubt,
+    unknown here while the endpoint may hold them. ``unconfirmed_packets`` holds each flow in doubt,
     ``balancers`` those that have pinged. ``queued_requests`` may be at the endpoint
     beyond those it works on. ``report_listener`` takes the endpoint's calls;
     it listens from the start, though they are answered later.
@@ -81,31 +86,31 @@
 
     settings: PassthroughAgentSettings
     codec: PacketCodec
-    local: DatagramSocket
-    daemons: DatagramSocket
+    packet_socket: DatagramSocket
+    daemon_socket: DatagramSocket
     started_at: float
     report_listener: socket.socket | None = None
     counts: Counter[str] = field(default_factory=Counter)
-    asked: dict[int, Doubt] = field(default_factory=dict)
+    unconfirmed_packets: dict[int, UnconfirmedPacket] = field(default_factory=dict)
     balancers: set[str] = field(default_factory=set)
-    pinged_at: float = 0.0
-    unlisted_at: float | None = None
+    last_ping_at: float = 0.0
+    unlisted_since: float | None = None
     stopping: bool = False
-    queued_requests: int = QUEUED_REQUESTS
+    queued_requests: int = DEFAULT_QUEUED_REQUESTS
 
     def __post_init__(self) -> None:
         settings = self.settings
-        kept = settings.flow_seconds * RECORD_MARGIN
-        self.flows = FlowTable(kept)
-        self.directory: Expiring[int] = Expiring(idle_seconds=kept)
-        self.waiting = WaitingLine()
-        self.judgement = Judgement()
-        self.complaints = complaint_bucket()
+        retention_seconds = settings.flow_seconds * RETENTION_FACTOR
+        self.flows = FlowTable(retention_seconds)
+        self.directory: Expiring[int] = Expiring(idle_seconds=retention_seconds)
+        self.request_queue = RequestQueue()
+        self.outlier_detector = Judgement()
+        self.log_budget = complaint_bucket()
         self.waiting_times = Histogram()
         self.endpoint = Endpoint(
             settings.service, settings.report_milliseconds / 1000, self.started_at
         )
-        self.tag = service_tag(settings.service)
+        self.service_tag = service_tag(settings.service)
         self.own_address = int(IPv4Address(settings.address))
         self.endpoint_address = socket_address(settings.endpoint)
         self.client_port = socket_address(settings.packets)[1]
@@ -113,83 +118,87 @@
     @property
     def sockets(self) -> tuple[DatagramSocket, ...]:
         """The sockets that it reads."""
-        return self.local, self.daemons
+        return self.packet_socket, self.daemon_socket
 
     def take_settings(self, settings: PassthroughAgentSettings) -> None:
         """Take in settings that have changed."""
         self.settings = settings
-        kept = settings.flow_seconds * RECORD_MARGIN
-        self.flows.flow_seconds = kept
-        self.directory.idle_seconds = kept
+        retention_seconds = settings.flow_seconds * RETENTION_FACTOR
+        self.flows.flow_seconds = retention_seconds
+        self.directory.idle_seconds = retention_seconds
         self.endpoint.report_seconds = settings.report_milliseconds / 1000
         set_level(settings.log)
 
     # Datagrams of daemons
 
-    def from_daemon(self, data: bytes, sender: str, now: float) -> None:
+    def receive_from_daemon(self, data: bytes, sender: str, now: float) -> None:
         """Take a datagram of another daemon."""
         kind = data[0] if data else 0
         if kind in (messages.DELIVER, messages.TRY):
-            deliver(self, data[1:], kind, sender, now)
+            forward_packet(self, data[1:], kind, sender, now)
         elif kind == messages.OPEN:
-            hop = messages.decode_open(data)
-            if hop is None:
+            open_message = messages.decode_open(data)
+            if open_message is None:
                 self.counts["broken_datagrams"] += 1
                 return
-            self._open(hop, sender, now)
+            self._receive_open(open_message, sender, now)
         elif kind == messages.ASK:
-            note = messages.decode_note(data)
-            if note is not None:
-                self.send(sender, answer_ask(self, note.flow, now))
+            message = messages.decode_flow_message(data)
+            if message is not None:
+                self.send(sender, answer_ask(self, message.flow, now))
         elif kind == messages.FIND:
-            find(self, data[1:], sender, now)
-        elif kind == messages.PASSED and len(data) > messages.PASSED_HEAD:
-            origin, packet = messages.decode_passed(data)
-            deliver(self, packet, messages.DELIVER, origin, now)
+            forward_to_owner(self, data[1:], sender, now)
+        elif kind == messages.FORWARDED and len(data) > messages.FORWARDED_HEADER_BYTES:
+            balancer, packet = messages.decode_forwarded(data)
+            forward_packet(self, packet, messages.DELIVER, balancer, now)
         elif kind == messages.RECORD:
-            note = messages.decode_note(data)
-            if note is not None:
-                self.directory.put(note.flow, note.agent, now)
+            message = messages.decode_flow_message(data)
+            if message is not None:
+                self.directory.put(message.flow, message.agent, now)
         elif kind == messages.PING:
-            self._ping(data, sender, now)
+            self._receive_ping(data, sender, now)
         else:
             self.counts["broken_datagrams"] += 1
 
-    def _open(self, hop: messages.Open, origin: str, now: float) -> None:
+    def _receive_open(
+        self, open_message: messages.OpenMessage, balancer: str, now: float
+    ) -> None:
         """Offer a first packet to the endpoint, or hand it back at once."""
-        head = self.codec.read_client(hop.packet)
-        if head is None:
+        header = self.codec.read_client(open_message.packet)
+        if header is None:
             self.counts["broken_packets"] += 1
             return
-        known = self.flows.get(head.flow)
-        if known is not None and not known.ended:
+        existing = self.flows.get(header.flow)
+        if existing is not None and not existing.ended:
             # A repeat: the endpoint has the flow and answers as it did before.
-            known.origin = origin
-            self.to_endpoint(hop.packet, messages.OPEN)
+            existing.balancer = balancer
+            self.send_to_endpoint(open_message.packet, messages.OPEN)
             return
-        refusal = self._refusal(hop, now)
-        if refusal:
-            self._refuse(head.flow, refusal, hop.packet, origin)
+        reason = self._rejection_reason(open_message, now)
+        if reason:
+            self._reject(header.flow, reason, open_message.packet, balancer)
             return
-        owned = self.flows.start(head.flow, origin, hop.homes, now)
-        owned.urgency = hop.urgency
+        owned = self.flows.start(header.flow, balancer, open_message.homes, now)
+        owned.urgency = open_message.urgency
         self.counts["flows_offered"] += 1
-        self.to_endpoint(hop.packet, messages.OPEN)
+        self.send_to_endpoint(open_message.packet, messages.OPEN)
 
-    def _refusal(self, hop: messages.Open, now: float) -> int:
+    def _rejection_reason(self, open_message: messages.OpenMessage, now: float) -> int:
         """Return why the endpoint takes no new flow now; 0 if it does."""
-        if hop.service_tag != self.tag:
-            return messages.FOREIGN_SERVICE
+        if open_message.service_tag != self.service_tag:
+            return messages.WRONG_SERVICE
         if self.endpoint.state == DRAINING:
-            return messages.ENDPOINT_LEAVES
+            return messages.ENDPOINT_DRAINING
         if self.endpoint.state == DOWN or self.stopping:
             return messages.ENDPOINT_DOWN
-        if self.endpoint.is_foreign:
-            return messages.ENDPOINT_FOREIGN
-        if hop.is_final:
+        if self.endpoint.has_wrong_service:
+            return messages.ENDPOINT_WRONG_SERVICE
+        if open_message.is_final:
             return 0
         return (
-            messages.ENDPOINT_BUSY if self._is_busy(now) else probe_refusal(self, now)
+            messages.ENDPOINT_BUSY
+            if self._is_busy(now)
+            else probe_rejection_reason(self, now)
         )
 
     def _is_busy(self, now: float) -> bool:
@@ -198,46 +207,48 @@
         Balancers know the load of some hundred milliseconds ago. In a crowd each of
         them sends its share to the same idle endpoint before any hears of the others.
         """
-        coming = self.flows.opened_since(now - COMING_SECONDS)
-        busy = self.flows.running + len(self.waiting) + coming
+        expected = self.flows.started_since(now - FIRST_REQUEST_SECONDS)
+        busy = self.flows.running + len(self.request_queue) + expected
         return busy >= BUSY_FACTOR * self.endpoint.capacity + self.queued_requests
 
-    def _refuse(self, flow: int, reason: int, packet: bytes, origin: str) -> None:
+    def _reject(self, flow: int, reason: int, packet: bytes, balancer: str) -> None:
         log.info(
             "flow handed back",
             extra={
                 "flow": flow_text(flow),
-                "reason": messages.REASONS[reason],
-                "balancer": origin,
-                "life": str(self.endpoint.life),
+                "reason": messages.REJECTION_REASONS[reason],
+                "balancer": balancer,
+                "life": str(self.endpoint.incarnation),
             },
         )
         self.counts["flows_handed_back"] += 1
-        note = messages.encode_note(
-            messages.REFUSED, flow, detail=reason, packet=packet
+        message = messages.encode_flow_message(
+            messages.REJECTED, flow, detail=reason, packet=packet
         )
-        self.send(origin, note)
+        self.send(balancer, message)
 
-    def tell_owner(self, flow: int, origin: str) -> None:
+    def send_owner(self, flow: int, balancer: str) -> None:
         """Tell a balancer that this agent owns a flow."""
-        note = messages.encode_note(messages.OWNED, flow, agent=self.own_address)
-        self.send(origin, note)
+        message = messages.encode_flow_message(
+            messages.OWNED, flow, agent=self.own_address
+        )
+        self.send(balancer, message)
 
-    def _ping(self, data: bytes, sender: str, now: float) -> None:
+    def _receive_ping(self, data: bytes, sender: str, now: float) -> None:
         try:
             ping = msgspec.msgpack.decode(data[1:], type=Ping)
         except msgspec.DecodeError:
             self.counts["broken_datagrams"] += 1
             return
-        self.pinged_at = now
+        self.last_ping_at = now
         self.balancers.add(sender)
         if ping.listed:
-            self.unlisted_at = None
-        elif self.unlisted_at is None:
-            self.unlisted_at = now
-        self.send(sender, self._pong(now))
+            self.unlisted_since = None
+        elif self.unlisted_since is None:
+            self.unlisted_since = now
+        self.send(sender, self._encode_pong(now))
 
-    def _pong(self, now: float) -> bytes:
+    def _encode_pong(self, now: float) -> bytes:
         endpoint = self.endpoint
         pong = Pong(
             self.settings.address,
@@ -245,135 +256,141 @@
             self.settings.service,
             DOWN if self.stopping else endpoint.announced_state,
             endpoint.capacity,
-            self.flows.running + len(self.waiting),
+            self.flows.running + len(self.request_queue),
             self.flows.open_flows,
             is_ejected(self, now),
-            round(self.flows.pace_now(now) * MILLISECONDS),
+            round(self.flows.response_seconds_now(now) * MILLISECONDS),
         )
         return bytes((messages.PONG,)) + msgspec.msgpack.encode(pong)
 
     # Packets of the endpoint
 
-    def from_endpoint(self, data: bytes, now: float) -> None:
+    def receive_from_endpoint(self, data: bytes, now: float) -> None:
         """Take a packet that the endpoint has sent."""
-        head = self.codec.read_endpoint(data)
-        if head is None:
+        header = self.codec.read_endpoint(data)
+        if header is None:
             self.counts["broken_packets"] += 1
             return
-        if head.flags & BOUNCED:
-            self._bounced(head, data, now)
-            release(self, now)
+        if header.flags & BOUNCED:
+            self._receive_bounced(header, data, now)
+            release_requests(self, now)
             return
-        self.local.send(data, (client_address(head.flow), self.client_port))
-        owned = self.flows.get(head.flow)
+        self.packet_socket.send(data, (client_address(header.flow), self.client_port))
+        owned = self.flows.get(header.flow)
         if owned is None:
-            owned = self._learn(head, now)
-        if head.flags & SYN:
-            self._taken(head.flow, owned)
+            owned = self._learn_flow(header, now)
+        if header.flags & SYN:
+            self._announce_accepted(header.flow, owned)
             return
-        judge_packet(self, owned, head, now)
-        self.flows.answered(head.flow, owned, head.length, now)
-        if head.flags & (FIN | RST):
-            self.flows.end(head.flow, owned)
-            self.waiting.remove(head.flow)
-        release(self, now)
-
-    def _learn(self, head: Head, now: float) -> OwnedFlow:
+        record_packet(self, owned, header, now)
+        self.flows.record_response(header.flow, owned, header.length, now)
+        if header.flags & (FIN | RST):
+            self.flows.end(header.flow, owned)
+            self.request_queue.remove(header.flow)
+        release_requests(self, now)
+
+    def _learn_flow(self, header: PacketHeader, now: float) -> OwnedFlow:
         """Take in a flow that opened before this process started."""
-        origin = self.asked.pop(head.flow, NO_DOUBT).origin
-        owned = self.flows.start(head.flow, origin, NO_HOMES, now)
-        owned.answered = True
+        balancer = self.unconfirmed_packets.pop(
+            header.flow, NO_UNCONFIRMED_PACKET
+        ).balancer
+        owned = self.flows.start(header.flow, balancer, NO_HOMES, now)
+        owned.accepted = True
         owned.is_learned = True
-        if origin:
-            self.tell_owner(head.flow, origin)
+        if balancer:
+            self.send_owner(header.flow, balancer)
         return owned
 
-    def _taken(self, flow: int, owned: OwnedFlow) -> None:
+    def _announce_accepted(self, flow: int, owned: OwnedFlow) -> None:
         """Tell the balancer and the homes that the endpoint has taken a flow."""
-        if owned.answered:
+        if owned.accepted:
             return
-        owned.answered = True
+        owned.accepted = True
         self.counts["flows_taken"] += 1
-        if owned.origin:
-            self.tell_owner(flow, owned.origin)
+        if owned.balancer:
+            self.send_owner(flow, owned.balancer)
         for home in owned.homes:
-            if home not in (messages.NOBODY, self.own_address):
-                note = messages.encode_note(
+            if home not in (messages.NO_ADDRESS, self.own_address):
+                message = messages.encode_flow_message(
                     messages.RECORD, flow, agent=self.own_address
                 )
-                self.send(address_text(home), note)
+                self.send(address_text(home), message)
 
-    def _bounced(self, head: Head, data: bytes, now: float) -> None:
+    def _receive_bounced(self, header: PacketHeader, data: bytes, now: float) -> None:
         """Take back a packet that the endpoint can't take."""
         packet = self.codec.marked(data, 0)
-        if head.flags & SYN:
-            owned = self.flows.remove(head.flow)
+        if header.flags & SYN:
+            owned = self.flows.remove(header.flow)
             if owned is not None:
-                self._refuse(head.flow, messages.ENDPOINT_FULL, packet, owned.origin)
+                self._reject(
+                    header.flow, messages.ENDPOINT_FULL, packet, owned.balancer
+                )
             return
-        owned = self.flows.get(head.flow)
-        if owned is not None and owned.opened:
+        owned = self.flows.get(header.flow)
+        if owned is not None and owned.established:
             # It opened here and nowhere else, and the endpoint no longer holds it.
-            end_dead_flow(self, head.flow, owned, "endpoint forgot it")
+            reset_dead_flow(self, header.flow, owned, "endpoint forgot it")
             return
-        origin, is_try, _ = self.asked.pop(head.flow, NO_DOUBT)
+        balancer, is_try, _ = self.unconfirmed_packets.pop(
+            header.flow, NO_UNCONFIRMED_PACKET
+        )
         if owned is not None:
             # The endpoint had answered a first packet whose client took up another's
             # answer.
-            origin = owned.origin
-            self.flows.remove(head.flow)
-        if origin:
-            say_not_here(self, head.flow, origin, b"" if is_try else packet)
+            balancer = owned.balancer
+            self.flows.remove(header.flow)
+        if balancer:
+            send_not_here(self, header.flow, balancer, b"" if is_try else packet)
 
     # The endpoint's reports
 
-    def report(self, report: Report, now: float) -> Hearing:
+    def receive_report(self, report: Report, now: float) -> ReportOutcome:
         """Take in a report of the endpoint; return what it was taken for."""
-        was = (self.endpoint.life, self.endpoint.announced_state)
-        heard_at = self.endpoint.reported_at
-        hearing = self.endpoint.report(report, now)
-        if (self.endpoint.life, self.endpoint.announced_state) != was:
+        before = (self.endpoint.incarnation, self.endpoint.announced_state)
+        last_report_at = self.endpoint.reported_at
+        outcome = self.endpoint.receive_report(report, now)
+        if (self.endpoint.incarnation, self.endpoint.announced_state) != before:
             log_endpoint(self, "endpoint reported")
-            self.tell_balancers(now)
-        if hearing is Hearing.BEGINS:
-            self.judgement = Judgement()
-            end_flows(self, "endpoint restarted", before=heard_at)
-        return hearing
+            self.send_pongs(now)
+        if outcome is ReportOutcome.NEW_INCARNATION:
+            self.outlier_detector = Judgement()
+            reset_flows(self, "endpoint restarted", before=last_report_at)
+        return outcome
 
-    def tell_balancers(self, now: float) -> None:
+    def send_pongs(self, now: float) -> None:
         """Tell the balancers of a change without being asked.
 
         Their next ping may be a few hundred milliseconds away: so long would a new
         endpoint get no flow, and one that leaves get some that it hands back.
         """
         for balancer in self.balancers:
-            self.send(balancer, self._pong(now))
+            self.send(balancer, self._encode_pong(now))
 
-    def leave(self, life: Life) -> None:
+    def leave(self, incarnation: Incarnation) -> None:
         """Take in that the endpoint has gone."""
-        if self.endpoint.leave(life):
+        if self.endpoint.leave(incarnation):
             log_endpoint(self, "endpoint left")
-            end_flows(self, "endpoint left")
+            reset_flows(self, "endpoint left")
 
-    def endpoint_refuses(self) -> None:
+    def mark_endpoint_down(self) -> None:
         """Take in that nothing listens at the endpoint's address any more."""
-        self.endpoint.down()
+        self.endpoint.mark_down()
         log_endpoint(self, "endpoint down")
-        end_flows(self, "endpoint down")
+        reset_flows(self, "endpoint down")
 
     def sweep(self, now: float) -> None:
         """Forget what is too old."""
         self.flows.sweep(now)
         self.directory.expire(now)
-        for flow in list(self.asked):
-            if now - self.asked[flow].at <= ASKED_SECONDS:
+        for flow in list(self.unconfirmed_packets):
+            if now - self.unconfirmed_packets[flow].forwarded_at <= UNCONFIRMED_SECONDS:
                 return
-            del self.asked[flow]
+            del self.unconfirmed_packets[flow]
 
-    def to_endpoint(self, packet: bytes, mark: int) -> None:
+    def send_to_endpoint(self, packet: bytes, mark: int) -> None:
         """Hand a packet to the endpoint, under a mark."""
-        self.local.send(self.codec.marked(packet, mark), self.endpoint_address)
+        self.packet_socket.send(self.codec.marked(packet, mark), self.endpoint_address)
 
     def send(self, address: str, data: bytes) -> None:
         """Send a datagram to another daemon."""
-        self.daemons.send(data, (address, self.settings.internal_port))
+        self.daemon_socket.send(data, (address, self.settings.internal_port))
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent_sockets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent_sockets.py
@@ -6,7 +6,7 @@
 
 from cornelspan_passthrough.agent import Agent
 from cornelspan_passthrough.datagrams import datagram_socket
-from cornelspan_passthrough.listeners import listening
+from cornelspan_passthrough.listeners import listening_socket
 from cornelspan_passthrough.packet_headers import PacketCodec
 from cornelspan_passthrough.settings import PassthroughAgentSettings, socket_address
 
@@ -27,13 +27,15 @@
     now = time.monotonic
     internal = (settings.address, settings.internal_port)
     with (
-        datagram_socket(socket_address(settings.outbound)) as local,
-        datagram_socket(internal) as daemons,
-        listening(socket_address(settings.reports)) as listener,
+        datagram_socket(socket_address(settings.outbound)) as packet_socket,
+        datagram_socket(internal) as daemon_socket,
+        listening_socket(socket_address(settings.reports)) as listener,
     ):
-        agent = Agent(settings, codec, local, daemons, now(), listener)
-        local.received = lambda data, sender: agent.from_endpoint(data, now())
-        daemons.received = lambda data, sender: agent.from_daemon(
+        agent = Agent(settings, codec, packet_socket, daemon_socket, now(), listener)
+        packet_socket.on_datagram = lambda data, sender: agent.receive_from_endpoint(
+            data, now()
+        )
+        daemon_socket.on_datagram = lambda data, sender: agent.receive_from_daemon(
             data, sender[0], now()
         )
         yield agent
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
@@ -46,7 +46,7 @@
 from cornelspan_passthrough.settings import PassthroughBalancerSettings, socket_address
 
 NOTES = (
-    messages.REFUSED,
+    messages.REJECTED,
     messages.NOT_HERE,
     messages.OWNED,
     messages.UNKNOWN,
@@ -139,7 +139,7 @@
         elif kind == messages.PING:
             self._ping(data, now)
         elif kind in NOTES:
-            note = messages.decode_note(data)
+            note = messages.decode_flow_message(data)
             if note is None:
                 self.counts["broken_datagrams"] += 1
                 return
@@ -151,7 +151,7 @@
         else:
             self.counts["broken_datagrams"] += 1
 
-    def _note(self, note: messages.FlowNote, sender: str, now: float) -> None:
+    def _note(self, note: messages.FlowMessage, sender: str, now: float) -> None:
         if note.kind == messages.OWNED:
             owner = address_text(note.agent)
             self.openings.confirm(note.flow, owner)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
@@ -26,8 +26,8 @@
         datagram_socket(internal) as daemons,
     ):
         balancer = Balancer(settings, codec, clients, daemons, random.Random())
-        clients.received = lambda data, sender: balancer.from_client(data, now())
-        daemons.received = lambda data, sender: balancer.from_daemon(
+        clients.on_datagram = lambda data, sender: balancer.from_client(data, now())
+        daemons.on_datagram = lambda data, sender: balancer.from_daemon(
             data, sender[0], now()
         )
         yield balancer
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/dead_flows.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/dead_flows.py
@@ -15,7 +15,7 @@
 log = get_log(__name__)
 
 
-def end_flows(agent: "Agent", reason: str, *, before: float | None = None) -> None:
+def reset_flows(agent: "Agent", reason: str, *, before: float | None = None) -> None:
     """Reset the flows of an endpoint's life that has ended.
 
     Flows that may have opened at another endpoint are forgotten only: a first
@@ -34,34 +34,34 @@
     for flow, owned in agent.flows.all():
         if before is not None and owned.started_at >= before:
             continue
-        if owned.opened and not owned.ended:
-            end_dead_flow(agent, flow, owned, reason)
+        if owned.established and not owned.ended:
+            reset_dead_flow(agent, flow, owned, reason)
         else:
             agent.flows.remove(flow)
-            agent.waiting.remove(flow)
+            agent.request_queue.remove(flow)
 
 
-def end_dead_flow(agent: "Agent", flow: int, owned: OwnedFlow, reason: str) -> None:
+def reset_dead_flow(agent: "Agent", flow: int, owned: OwnedFlow, reason: str) -> None:
     """Reset a flow that its endpoint no longer holds.
 
     Its client would repeat packets until its time budget ends; told at once, it
     tries again while there is time.
     """
     agent.flows.remove(flow)
-    agent.waiting.remove(flow)
+    agent.request_queue.remove(flow)
     agent.counts["dead_flows"] += 1
     log.info("flow dead, reset", extra={"flow": flow_text(flow), "reason": reason})
     packet = agent.codec.reset(flow, owned.acknowledged)
-    agent.local.send(packet, (client_address(flow), agent.client_port))
+    agent.packet_socket.send(packet, (client_address(flow), agent.client_port))
 
 
 def log_endpoint(agent: "Agent", event: str) -> None:
     """Log what an agent knows of its endpoint now."""
     endpoint = agent.endpoint
     extra = {
-        "life": str(endpoint.life),
+        "life": str(endpoint.incarnation),
         "state": STATE_NAMES[endpoint.state],
-        "is_foreign": endpoint.is_foreign,
+        "is_foreign": endpoint.has_wrong_service,
         "sequence": endpoint.sequence,
         "capacity": endpoint.capacity,
         "flows": len(agent.flows),
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivery.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivery.py
@@ -4,141 +4,161 @@
 
 from cornelspan_common.logs import get_log
 from cornelspan_passthrough import messages
-from cornelspan_passthrough.flows import NO_REQUEST, Doubt, OwnedFlow, is_repeat
-from cornelspan_passthrough.outlier_detection import judge_lost_requests
-from cornelspan_passthrough.packet_headers import RST, Head, address_text, flow_text
+from cornelspan_passthrough.flows import (
+    NO_REQUEST,
+    OwnedFlow,
+    UnconfirmedPacket,
+    is_retransmission,
+)
+from cornelspan_passthrough.outlier_detection import record_lost_requests
+from cornelspan_passthrough.packet_headers import (
+    RST,
+    PacketHeader,
+    address_text,
+    flow_text,
+)
 from cornelspan_passthrough.pulses import DOWN
-from cornelspan_passthrough.request_queue import Held
-from cornelspan_passthrough.urgency import times
+from cornelspan_passthrough.request_queue import QueuedRequest
+from cornelspan_passthrough.urgency import request_deadlines
 
 if TYPE_CHECKING:
     from cornelspan_passthrough.agent import Agent
 
 # Questions that wait for the endpoint's word; it answers within its own round trip.
-ASKED_LIMIT = 4096
+MAX_UNCONFIRMED_PACKETS = 4096
 log = get_log(__name__)
 
 
-def deliver(agent: "Agent", packet: bytes, kind: int, origin: str, now: float) -> None:
+def forward_packet(
+    agent: "Agent", packet: bytes, kind: int, balancer: str, now: float
+) -> None:
     """Hand a packet to the endpoint if it holds the flow, or may do so."""
-    head = agent.codec.read_client(packet)
-    if head is None:
+    header = agent.codec.read_client(packet)
+    if header is None:
         agent.counts["broken_packets"] += 1
         return
-    owned = agent.flows.get(head.flow)
+    owned = agent.flows.get(header.flow)
     if owned is not None:
-        owned.origin = origin
-        _forward(agent, head, owned, packet, now)
+        owned.balancer = balancer
+        _forward_or_queue(agent, header, owned, packet, now)
         return
-    if not _may_hold_unknown(agent, now):
-        say_not_here(agent, head.flow, origin, packet)
+    if not _may_hold_unknown_flow(agent, now):
+        send_not_here(agent, header.flow, balancer, packet)
         return
-    _note_question(agent, head.flow, Doubt(origin, kind == messages.TRY, now))
-    agent.to_endpoint(packet, kind)
+    _record_unconfirmed(
+        agent, header.flow, UnconfirmedPacket(balancer, kind == messages.TRY, now)
+    )
+    agent.send_to_endpoint(packet, kind)
 
 
-def _forward(
-    agent: "Agent", head: Head, owned: OwnedFlow, packet: bytes, now: float
+def _forward_or_queue(
+    agent: "Agent", header: PacketHeader, owned: OwnedFlow, packet: bytes, now: float
 ) -> None:
     """Hand a packet of a flow to the endpoint, or hold its request for room."""
-    if _begins_request(owned, head):
-        if agent.waiting.holds(head.flow):
-            agent.waiting.add(head.flow, packet, head.sequence)
+    if _begins_request(owned, header):
+        if agent.request_queue.contains(header.flow):
+            agent.request_queue.add_packet(header.flow, packet, header.sequence)
             return
-        judge_lost_requests(agent, now)
-        if agent.flows.running >= room(agent):
+        record_lost_requests(agent, now)
+        if agent.flows.running >= request_limit(agent):
             is_first = owned.sent_up_to is None
-            until = times(owned.urgency, now, is_first=is_first)
-            held = Held(owned.urgency.priority, until, now)
-            agent.waiting.hold(head.flow, held, packet, head.sequence)
+            deadlines = request_deadlines(owned.urgency, now, is_first=is_first)
+            request = QueuedRequest(owned.urgency.priority, deadlines, now)
+            agent.request_queue.push(header.flow, request, packet, header.sequence)
             agent.counts["requests_held"] += 1
             log.info(
                 "request held",
                 extra={
-                    "flow": flow_text(head.flow),
+                    "flow": flow_text(header.flow),
                     "priority": owned.urgency.priority,
                     "running": agent.flows.running,
-                    "room": room(agent),
-                    "waiting": len(agent.waiting),
+                    "room": request_limit(agent),
+                    "waiting": len(agent.request_queue),
                 },
             )
             return
-    elif head.flags & RST:
-        agent.flows.end_request(head.flow, owned)
-        agent.waiting.remove(head.flow)
-    agent.flows.sent(head.flow, owned, head, now)
-    agent.to_endpoint(packet, messages.DELIVER)
+    elif header.flags & RST:
+        agent.flows.end_request(header.flow, owned)
+        agent.request_queue.remove(header.flow)
+    agent.flows.record_sent(header.flow, owned, header, now)
+    agent.send_to_endpoint(packet, messages.DELIVER)
 
 
-def _begins_request(owned: OwnedFlow, head: Head) -> bool:
+def _begins_request(owned: OwnedFlow, header: PacketHeader) -> bool:
     """Whether a packet is the first of a request."""
-    if not head.length or owned.request_at != NO_REQUEST:
+    if not header.length or owned.request_started_at != NO_REQUEST:
         return False
-    return not is_repeat(owned, head.sequence, head.length)
+    return not is_retransmission(owned, header.sequence, header.length)
 
 
-def room(agent: "Agent") -> int:
+def request_limit(agent: "Agent") -> int:
     """How many requests may be at the endpoint at once."""
     return agent.endpoint.capacity + agent.queued_requests
 
 
-def release(agent: "Agent", now: float) -> None:
+def release_requests(agent: "Agent", now: float) -> None:
     """Hand over requests that wait, as far as there is room."""
-    judge_lost_requests(agent, now)
-    if not agent.waiting:
+    record_lost_requests(agent, now)
+    if not agent.request_queue:
         return
-    while agent.flows.running < room(agent):
-        for expired in agent.waiting.forget_expired(now):
+    while agent.flows.running < request_limit(agent):
+        for expired in agent.request_queue.drop_expired(now):
             extra = {"flow": flow_text(expired), "reason": "time budget spent"}
             log.info("request dropped unrun", extra=extra)
-        taken = agent.waiting.take(now, agent.flows.pace_seconds)
-        if taken is None:
+        popped = agent.request_queue.pop(now, agent.flows.response_seconds)
+        if popped is None:
             return
-        flow, held = taken
+        flow, request = popped
         owned = agent.flows.get(flow)
         if owned is None:
             continue
-        waited = now - held.since
+        waited = now - request.queued_at
         agent.waiting_times.observe(waited)
         extra = {"flow": flow_text(flow), "waited_ms": round(waited * 1000)}
         log.info("request released", extra=extra)
-        for packet in held.packets.values():
-            head = agent.codec.read_client(packet)
-            if head is not None:
-                agent.flows.sent(head.flow, owned, head, now)
-                agent.to_endpoint(packet, messages.DELIVER)
+        for packet in request.packets.values():
+            header = agent.codec.read_client(packet)
+            if header is not None:
+                agent.flows.record_sent(header.flow, owned, header, now)
+                agent.send_to_endpoint(packet, messages.DELIVER)
 
 
-def find(agent: "Agent", packet: bytes, origin: str, now: float) -> None:
+def forward_to_owner(agent: "Agent", packet: bytes, balancer: str, now: float) -> None:
     """Pass a packet on to the owner that is recorded here, and name it."""
-    head = agent.codec.read_client(packet)
-    if head is None:
+    header = agent.codec.read_client(packet)
+    if header is None:
         agent.counts["broken_packets"] += 1
         return
-    if agent.flows.get(head.flow) is not None:
-        agent.tell_owner(head.flow, origin)
-        deliver(agent, packet, messages.DELIVER, origin, now)
+    if agent.flows.get(header.flow) is not None:
+        agent.send_owner(header.flow, balancer)
+        forward_packet(agent, packet, messages.DELIVER, balancer, now)
         return
-    owner = agent.directory.get(head.flow, now)
+    owner = agent.directory.get(header.flow, now)
     if owner is None or owner == agent.own_address:
-        agent.send(origin, messages.encode_note(messages.UNKNOWN, head.flow))
+        agent.send(
+            balancer, messages.encode_flow_message(messages.UNKNOWN, header.flow)
+        )
         return
-    agent.send(origin, messages.encode_note(messages.OWNED, head.flow, agent=owner))
+    agent.send(
+        balancer, messages.encode_flow_message(messages.OWNED, header.flow, agent=owner)
+    )
     # The balancer sends what follows to the owner; this packet goes with the name,
     # as coming from it, so that the owner's word goes to the balancer too.
-    agent.send(address_text(owner), messages.encode_passed(packet, origin))
+    agent.send(address_text(owner), messages.encode_forwarded(packet, balancer))
 
 
 def answer_ask(agent: "Agent", flow: int, now: float) -> bytes:
     """Return the answer to a balancer that seeks the owner of a flow."""
     if agent.flows.get(flow) is not None:
-        return messages.encode_note(messages.OWNED, flow, agent=agent.own_address)
-    if _may_hold_unknown(agent, now):
-        return messages.encode_note(messages.MAYBE, flow)
-    return messages.encode_note(messages.NOT_HERE, flow)
+        return messages.encode_flow_message(
+            messages.OWNED, flow, agent=agent.own_address
+        )
+    if _may_hold_unknown_flow(agent, now):
+        return messages.encode_flow_message(messages.MAYBE, flow)
+    return messages.encode_flow_message(messages.NOT_HERE, flow)
 
 
-def _may_hold_unknown(agent: "Agent", now: float) -> bool:
+def _may_hold_unknown_flow(agent: "Agent", now: float) -> bool:
     """Whether the endpoint may hold a flow that opened before this process did.
 
     An agent that is restarted beside a living endpoint has forgotten its flows. The
@@ -147,25 +167,31 @@
     of power; it has no flows of an earlier time, and saying so at once saves a
     packet to each endpoint for each dead flow.
     """
-    if agent.endpoint.has_started_fresh:
+    if agent.endpoint.has_no_earlier_flows:
         return False
     if agent.endpoint.state == DOWN or agent.endpoint.is_silent:
         return False
     return now - agent.started_at < agent.flows.flow_seconds
 
 
-def _note_question(agent: "Agent", flow: int, doubt: Doubt) -> None:
-    agent.asked.pop(flow, None)
-    agent.asked[flow] = doubt
-    if len(agent.asked) > ASKED_LIMIT:
-        del agent.asked[next(iter(agent.asked))]
+def _record_unconfirmed(
+    agent: "Agent", flow: int, unconfirmed: UnconfirmedPacket
+) -> None:
+    agent.unconfirmed_packets.pop(flow, None)
+    agent.unconfirmed_packets[flow] = unconfirmed
+    if len(agent.unconfirmed_packets) > MAX_UNCONFIRMED_PACKETS:
+        del agent.unconfirmed_packets[next(iter(agent.unconfirmed_packets))]
 
 
-def say_not_here(agent: "Agent", flow: int, origin: str, packet: bytes = b"") -> None:
+def send_not_here(
+    agent: "Agent", flow: int, balancer: str, packet: bytes = b""
+) -> None:
     """Tell a balancer that the endpoint does not hold a flow.
 
     The packet goes back with it, unless the balancer has kept it for its search: sent
     back by each of many agents that were tried, it filled the links of small VMs.
     """
     agent.counts["flows_not_here"] += 1
-    agent.send(origin, messages.encode_note(messages.NOT_HERE, flow, packet=packet))
+    agent.send(
+        balancer, messages.encode_flow_message(messages.NOT_HERE, flow, packet=packet)
+    )
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
@@ -6,21 +6,21 @@
 from cornelspan_passthrough.pulses import DOWN, DRAINING, READY
 
 # A report may be late by part of its interval; after 1.8 of them one is surely missing.
-MISSING_REPORTS = 1.8
+MISSING_REPORT_INTERVALS = 1.8
 # An ended life that reports again is taken back if it goes on reporting while the one
 # in its place does not. Reports that were held up on the way may be several.
-RETURNING_REPORTS = 2
+RESUME_REPORTS = 2
 # After this part of an interval without a first report an agent that has just started
 # looks whether there is an endpoint at all. Beside one that is gone it would wait for
 # ever to be told whether a flow lives there.
-FIRST_REPORT = 0.3
+FIRST_REPORT_INTERVALS = 0.3
 # Two connections that hang, a report's interval apart, and no report meanwhile.
 SILENT_PROBES = 2
-KEPT_LIVES = 64
+MAX_ENDED_INCARNATIONS = 64
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
+class Incarnation:
     """One run of an endpoint's process, from a start to the next.
 
     ``name`` may be the same after a restart. ``started_milliseconds`` is the Unix time
@@ -35,7 +35,7 @@
             return self.name
         return f"{self.name}@{self.started_milliseconds}"
 
-    def is_before(self, other: "Life") -> bool:
+    def is_before(self, other: "Incarnation") -> bool:
         """Whether this life surely began before another."""
         own, others = self.started_milliseconds, other.started_milliseconds
         return own is not None and others is not None and own < others
@@ -50,7 +50,7 @@
     after its start.
     """
 
-    life: Life
+    incarnation: Incarnation
     service: str
     sequence: int
     capacity: int
@@ -58,18 +58,18 @@
     cold_milliseconds: int
 
 
-class Hearing(Enum):
+class ReportOutcome(Enum):
     """What a report was taken for.
 
-    ``TAKEN`` is one of the present life, also a repeat. ``BEGINS`` is the first of a
-    new life after another one. ``DOUBTED`` seems to come from a life that has ended,
-    ``FOREIGN`` from an endpoint of another service.
+    ``ACCEPTED`` is one of the present life, also a repeat. ``NEW_INCARNATION`` is the first of a
+    new life after another one. ``STALE`` seems to come from a life that has ended,
+    ``WRONG_SERVICE`` from an endpoint of another service.
     """
 
-    TAKEN = auto()
-    BEGINS = auto()
-    DOUBTED = auto()
-    FOREIGN = auto()
+    ACCEPTED = auto()
+    NEW_INCARNATION = auto()
+    STALE = auto()
+    WRONG_SERVICE = auto()
 
 
 @dataclass
@@ -77,29 +77,29 @@
     """The endpoint's state; times are of the loop's clock, in seconds.
 
     Until its first report the endpoint is taken for ready: it may have lived on while
-    its agent was restarted. ``watched_since`` is when that agent started.
-    ``has_started_fresh`` says that this life began under the eyes of the agent, or was
-    in its cold start when it first reported here, a second or two old. ``life`` is None
-    before the first report and after the end of a life, ``newest`` the one that began
+    its agent was restarted. ``agent_started_at`` is when that agent started.
+    ``has_no_earlier_flows`` says that this life began under the eyes of the agent, or was
+    in its cold start when it first reported here, a second or two old. ``incarnation`` is None
+    before the first report and after the end of a life, ``newest_incarnation`` the one that began
     last. ``ended`` counts the reports that came from each life after its end.
-    ``is_foreign`` says that an endpoint of another service reports here, and
-    ``is_doubted`` that somebody said that this one goes.
+    ``has_wrong_service`` says that an endpoint of another service reports here, and
+    ``is_leave_unconfirmed`` that somebody said that this one goes.
     """
 
     service: str
     report_seconds: float
-    watched_since: float = 0.0
+    agent_started_at: float = 0.0
     unanswered_probes: int = 0
-    has_started_fresh: bool = False
-    life: Life | None = None
-    newest: Life | None = None
+    has_no_earlier_flows: bool = False
+    incarnation: Incarnation | None = None
+    newest_incarnation: Incarnation | None = None
     sequence: int = -1
     state: int = READY
-    is_foreign: bool = False
-    is_doubted: bool = False
+    has_wrong_service: bool = False
+    is_leave_unconfirmed: bool = False
     capacity: int = 1
     reported_at: float | None = None
-    ended: dict[Life, int] = field(default_factory=dict)
+    ended: dict[Incarnation, int] = field(default_factory=dict)
 
     @property
     def announced_state(self) -> int:
@@ -109,11 +109,11 @@
         flow goes there. It may also be a stray report beside a sound endpoint, so its
         flows are left alone; the next report of the sound one ends the doubt.
         """
-        if self.is_foreign and self.state == READY:
+        if self.has_wrong_service and self.state == READY:
             return DRAINING
         return self.state
 
-    def report(self, report: Report, now: float) -> Hearing:
+    def receive_report(self, report: Report, now: float) -> ReportOutcome:
         """Take in a report.
 
         A report that was held up on the way may come from a life that has ended, after
@@ -122,59 +122,61 @@
         arrives: an agent that was restarted between the two has not seen the old life
         end.
         """
-        seems_past = report.life != self.life and self._is_past(report.life)
-        if seems_past and not self._returns(report.life, now):
-            return Hearing.DOUBTED
+        seems_ended = report.incarnation != self.incarnation and self._has_ended(
+            report.incarnation
+        )
+        if seems_ended and not self._has_resumed(report.incarnation, now):
+            return ReportOutcome.STALE
         if report.service != self.service:
-            return self._hear_foreign(report)
-        if report.life == self.life:
-            self._go_on(report, now)
-            return Hearing.TAKEN
-        return self._begin(report, now)
+            return self._reject_wrong_service(report)
+        if report.incarnation == self.incarnation:
+            self._update(report, now)
+            return ReportOutcome.ACCEPTED
+        return self._start_incarnation(report, now)
 
-    def leave(self, life: Life) -> bool:
+    def leave(self, incarnation: Incarnation) -> bool:
         """Take in that a life is over; return whether it was the present one.
 
         Word of the present name that doesn't say which of its lives it ends may be of
         an earlier one, held up on the way. Believed, it would end the flows of a life
         that goes on. So it only raises a doubt, and the endpoint's port tells.
         """
-        if self.life is None:
+        if self.incarnation is None:
             return False
-        if life == self.life:
-            self.down()
+        if incarnation == self.incarnation:
+            self.mark_down()
             return True
-        if life == Life(self.life.name):
-            self.is_doubted = True
+        if incarnation == Incarnation(self.incarnation.name):
+            self.is_leave_unconfirmed = True
         return False
 
-    def down(self) -> None:
+    def mark_down(self) -> None:
         """Note that nothing listens at the endpoint's address."""
-        self._end_life()
+        self._end_incarnation()
         self.state = DOWN
 
     def is_overdue(self, now: float) -> bool:
         """Whether a report is missing, or the endpoint is said to have gone."""
-        if self.is_doubted:
+        if self.is_leave_unconfirmed:
             return True
         if self.reported_at is None:
-            first = FIRST_REPORT * self.report_seconds
-            return now - self.watched_since > first
-        return now - self.reported_at > MISSING_REPORTS * self.report_seconds
+            first = FIRST_REPORT_INTERVALS * self.report_seconds
+            return now - self.agent_started_at > first
+        return now - self.reported_at > MISSING_REPORT_INTERVALS * self.report_seconds
 
     @property
     def is_silent(self) -> bool:
         """Whether it neither reports nor takes connections."""
         return self.unanswered_probes >= SILENT_PROBES
 
-    def _hear_foreign(self, report: Report) -> Hearing:
+    def _reject_wrong_service(self, report: Report) -> ReportOutcome:
         """Take in a report of another service; one life is of one service."""
-        if report.life == self.life:
-            return Hearing.DOUBTED
-        self.is_foreign = True
-        return Hearing.FOREIGN
+        if report.incarnation == self.incarnation:
+            return ReportOutcome.STALE
+        self.has_wrong_service = True
+        return ReportOutcome.WRONG_SERVICE
 
-    def _go_on(self, report: Report, now: float) -> None:
+    def _update(self, report: Report, now: float) -> None:
         """Take in a report of the present life.
 
         Leaving is for good within one life, so it counts also when later reports have
@@ -184,62 +186,66 @@
         if report.draining:
             self.state = DRAINING
         if report.sequence > self.sequence:
-            self._take_figures(report, now)
-
-    def _begin(self, report: Report, now: float) -> Hearing:
-        known = self.life is not None
-        self._end_life()
-        self.has_started_fresh = known or report.cold_milliseconds > 0
-        self.life = report.life
-        self.newest = report.life
+            self._apply_report(report, now)
+
+    def _start_incarnation(self, report: Report, now: float) -> ReportOutcome:
+        had_incarnation = self.incarnation is not None
+        self._end_incarnation()
+        self.has_no_earlier_flows = had_incarnation or report.cold_milliseconds > 0
+        self.incarnation = report.incarnation
+        self.newest_incarnation = report.incarnation
         self.state = DRAINING if report.draining else READY
-        self._take_figures(report, now)
-        return Hearing.BEGINS if known else Hearing.TAKEN
+        self._apply_report(report, now)
+        return (
+            ReportOutcome.NEW_INCARNATION if had_incarnation else ReportOutcome.ACCEPTED
+        )
 
-    def _take_figures(self, report: Report, now: float) -> None:
+    def _apply_report(self, report: Report, now: float) -> None:
         self.sequence = report.sequence
         self.capacity = report.capacity
         self.reported_at = now
         self.unanswered_probes = 0
-        self.is_foreign = False
-        self.is_doubted = False
-
-    def _end_life(self) -> None:
-        if self.life is not None:
-            self.ended[self.life] = 0
-            self._bound_ended()
-        self.life = None
+        self.has_wrong_service = False
+        self.is_leave_unconfirmed = False
+
+    def _end_incarnation(self) -> None:
+        if self.incarnation is not None:
+            self.ended[self.incarnation] = 0
+            self._trim_ended()
+        self.incarnation = None
         self.sequence = -1
         self.state = READY
-        self.is_doubted = False
+        self.is_leave_unconfirmed = False
 
-    def _bound_ended(self) -> None:
-        while len(self.ended) > KEPT_LIVES:
+    def _trim_ended(self) -> None:
+        while len(self.ended) > MAX_ENDED_INCARNATIONS:
             del self.ended[next(iter(self.ended))]
 
-    def _is_past(self, life: Life) -> bool:
+    def _has_ended(self, incarnation: Incarnation) -> bool:
         """Whether a life seems to have ended, as a later one has begun.
 
         One that doesn't say when it began, under the name of one that does, can't be
         told from it and is doubted as well.
         """
-        if life in self.ended:
+        if incarnation in self.ended:
             return True
-        if self.newest is None:
+        if self.newest_incarnation is None:
             return False
-        return life.is_before(self.newest) or life == Life(self.newest.name)
+        return incarnation.is_before(
+            self.newest_incarnation
+        ) or incarnation == Incarnation(self.newest_incarnation.name)
 
-    def _returns(self, life: Life, now: float) -> bool:
+    def _has_resumed(self, incarnation: Incarnation, now: float) -> bool:
         """Whether a life that was taken to have ended is the present one after all.
 
         An endpoint whose clock was set back before its start seems to be older than the
         one before it; that one reports no more.
         """
-        self.ended[life] = self.ended.get(life, 0) + 1
-        self._bound_ended()
-        if self.ended[life] < RETURNING_REPORTS:
+        self.ended[incarnation] = self.ended.get(incarnation, 0) + 1
+        self._trim_ended()
+        if self.ended[incarnation] < RESUME_REPORTS:
             return False
-        if self.life is not None and not self.is_overdue(now):
+        if self.incarnation is not None and not self.is_overdue(now):
             return False
-        del self.ended[life]
+        del self.ended[incarnation]
         return True
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
@@ -7,8 +7,12 @@
 from cornelspan_passthrough import messages
 from cornelspan_passthrough.configuration import Route, services_in_order
 from cornelspan_passthrough.members import service_tag
-from cornelspan_passthrough.openings import CLIENT_SECONDS, HELD_SECONDS, Opening
-from cornelspan_passthrough.packet_headers import Head, flow_text
+from cornelspan_passthrough.openings import (
+    CLIENT_TIMEOUT_SECONDS,
+    HOLD_TIMEOUT_SECONDS,
+    Opening,
+)
+from cornelspan_passthrough.packet_headers import PacketHeader, flow_text
 from cornelspan_passthrough.placing import REFUSED_SECONDS, Candidate
 from cornelspan_passthrough.pulses import Pulse
 from cornelspan_passthrough.urgency import MILLISECONDS, Urgency
@@ -31,7 +35,9 @@
 log = get_log(__name__)
 
 
-def open_flow(balancer: "Balancer", head: Head, data: bytes, now: float) -> None:
+def open_flow(
+    balancer: "Balancer", head: PacketHeader, data: bytes, now: float
+) -> None:
     """Take a first packet of a client, or a repeat of one."""
     if balancer.routes.configuration is None:
         _hold_unrouted(balancer, head, data, now)
@@ -43,7 +49,7 @@
     opening = balancer.openings.get(head.flow, head.sequence, now)
     if opening is None:
         opening = _start(balancer, head, now)
-    elif opening.held:
+    elif opening.held_packet:
         return
     elif opening.confirmed:
         _offer(balancer, opening, route, head.flow, data, now)
@@ -54,18 +60,20 @@
     _place(balancer, opening, route, head.flow, data, now)
 
 
-def _start(balancer: "Balancer", head: Head, now: float) -> Opening:
-    began_at = now - balancer.codec.waited_seconds(head)
-    return balancer.openings.start(head.flow, head.sequence, now, began_at)
+def _start(balancer: "Balancer", head: PacketHeader, now: float) -> Opening:
+    first_sent_at = now - balancer.codec.waited_seconds(head)
+    return balancer.openings.start(head.flow, head.sequence, now, first_sent_at)
 
 
-def _hold_unrouted(balancer: "Balancer", head: Head, data: bytes, now: float) -> None:
+def _hold_unrouted(
+    balancer: "Balancer", head: PacketHeader, data: bytes, now: float
+) -> None:
     """Keep a first packet until there is a configuration to place it by."""
     balancer.counts["opens_without_configuration"] += 1
     opening = balancer.openings.get(head.flow, head.sequence, now)
     if opening is None:
         opening = _start(balancer, head, now)
-    opening.held = data
+    opening.held_packet = data
 
 
 def _place(
@@ -83,16 +91,16 @@
     comes 200 ms later at the earliest.
     """
     if not _knows_agents(balancer, route, now):
-        opening.held = data
+        opening.held_packet = data
         return
-    opening.held = b""
-    service, owner = _choose(balancer, route, flow, opening.passed_over, now)
-    opening.is_final = not owner or opening.tries >= OPEN_TRIES - 1
+    opening.held_packet = b""
+    service, owner = _choose(balancer, route, flow, opening.excluded_agents, now)
+    opening.is_final = not owner or opening.rejections >= OPEN_TRIES - 1
     if not owner:
         # Whoever is merely busy, or has not answered, is better than nobody.
-        service, owner = _choose(balancer, route, flow, opening.refused, now)
+        service, owner = _choose(balancer, route, flow, opening.rejected_by, now)
     if not owner:
-        refusals = len(opening.refused)
+        refusals = len(opening.rejected_by)
         reason = "all endpoints turned it away" if refusals else "no endpoint"
         _refuse(balancer, flow, reason, route=route.name, refusals=refusals)
         return
@@ -106,7 +114,7 @@
             "flow": flow_text(flow),
             "service": service,
             "agent": owner,
-            "refusals": len(opening.refused),
+            "refusals": len(opening.rejected_by),
             "version": balancer.routes.version,
             "running": pulse.pong.running if pulse.pong else None,
             "placed": pulse.placed,
@@ -157,7 +165,7 @@
     first one, above all if it stood still meanwhile or is not in the rotation. Told
     that nobody takes the flow, the client would lose one that is open.
     """
-    return now - opening.began_at > CLIENT_SECONDS
+    return now - opening.first_sent_at > CLIENT_TIMEOUT_SECONDS
 
 
 def _members_come(balancer: "Balancer", now: float) -> bool:
@@ -172,19 +180,19 @@
 
 def place_held(balancer: "Balancer", now: float) -> None:
     """Place first packets that wait for an agent or a route, or give them up."""
-    for flow, opening in balancer.openings.held():
-        waited = now - opening.started_at
-        if balancer.routes.configuration is None and waited <= HELD_SECONDS:
+    for flow, opening in balancer.openings.with_held_packet():
+        waited = now - opening.received_at
+        if balancer.routes.configuration is None and waited <= HOLD_TIMEOUT_SECONDS:
             continue
         route = balancer.routes.route(flow)
-        if route is None or waited > HELD_SECONDS:
-            opening.held = b""
+        if route is None or waited > HOLD_TIMEOUT_SECONDS:
+            opening.held_packet = b""
             if balancer.routes.configuration is None or _is_over(opening, now):
                 continue
             reason = "no agent answers" if route else "no route"
             _refuse(balancer, flow, reason, waited_ms=round(waited * 1000))
             continue
-        _place(balancer, opening, route, flow, opening.held, now)
+        _place(balancer, opening, route, flow, opening.held_packet, now)
 
 
 def _choose(
@@ -220,15 +228,15 @@
     """Send a first packet to the agent that was chosen for it."""
     tag = service_tag(opening.service)
     homes = [int(IPv4Address(home)) for home in balancer.homes.of(flow)]
-    first, second = (*homes, messages.NOBODY, messages.NOBODY)[:2]
-    waited = round((now - opening.began_at) * MILLISECONDS)
+    first, second = (*homes, messages.NO_ADDRESS, messages.NO_ADDRESS)[:2]
+    waited = round((now - opening.first_sent_at) * MILLISECONDS)
     urgency = Urgency(
         route.priority,
         route.target_milliseconds,
         route.timeout_milliseconds,
         waited,
     )
-    hop = messages.Open(urgency, tag, (first, second), opening.is_final, data)
+    hop = messages.OpenMessage(urgency, tag, (first, second), opening.is_final, data)
     balancer.send(opening.owner, messages.encode_open(hop))
 
 
@@ -241,7 +249,7 @@
 
 
 def place_anew(
-    balancer: "Balancer", note: messages.FlowNote, sender: str, now: float
+    balancer: "Balancer", note: messages.FlowMessage, sender: str, now: float
 ) -> None:
     """Place a first packet anew that an endpoint has turned away."""
     head = balancer.codec.read_client(note.packet)
@@ -252,7 +260,7 @@
         extra={
             "flow": flow_text(note.flow),
             "agent": sender,
-            "reason": messages.REASONS.get(note.detail, "unknown"),
+            "reason": messages.REJECTION_REASONS.get(note.detail, "unknown"),
         },
     )
     balancer.counts["flows_turned_away"] += 1
@@ -261,11 +269,11 @@
     if opening is None or route is None or opening.owner != sender:
         return
     if note.detail in (messages.ENDPOINT_BUSY, messages.ENDPOINT_PROBED):
-        opening.busy.add(sender)
+        opening.busy_agents.add(sender)
     else:
-        opening.refused.add(sender)
+        opening.rejected_by.add(sender)
     balancer.pulses.of(sender).refused_until = now + REFUSED_SECONDS
-    if opening.tries >= OPEN_TRIES:
-        _refuse(balancer, note.flow, "turned away", refusals=opening.tries)
+    if opening.rejections >= OPEN_TRIES:
+        _refuse(balancer, note.flow, "turned away", refusals=opening.rejections)
         return
     _place(balancer, opening, route, note.flow, note.packet, now)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
@@ -5,80 +5,80 @@
 from typing import NamedTuple
 
 from cornelspan_passthrough.histograms import Histogram
-from cornelspan_passthrough.packet_headers import Head
-from cornelspan_passthrough.urgency import UNKNOWN, Urgency
+from cornelspan_passthrough.packet_headers import PacketHeader
+from cornelspan_passthrough.urgency import DEFAULT_URGENCY, Urgency
 
 NO_REQUEST = 0.0
 # A request that has run this many times the usual is no longer taken to fill a slot:
 # its client has gone, or the endpoint is grey and will never answer. Counted on, a few
 # of them took up all the room of a one-slot endpoint, and what waited there was dropped
 # unrun five seconds later. Should it still run, the endpoint's own queue has room.
-LOST_REQUEST_PACES = 8.0
+LOST_REQUEST_FACTOR = 8.0
 LOST_REQUEST_SECONDS = 0.4
 # Sequence numbers have 32 bits and begin anywhere; what is less than half of them ahead
 # is ahead.
 SEQUENCE_MASK = 0xFFFFFFFF
-AHEAD = range(1, 1 << 31)
+AHEAD_RANGE = range(1, 1 << 31)
 # The share of a new measure in the endpoint's pace.
-PACE_SHARE = 0.1
+RESPONSE_TIME_WEIGHT = 0.1
 # With log-normal times of a deviation of 0.5 one request in 140 runs for so much longer
 # than the mean of a sound endpoint.
-OVERDUE_PACES = 3.0
+OVERDUE_FACTOR = 3.0
 # An endpoint that gets nothing is tried again after this, as one of usual pace.
-PACE_KEPT_SECONDS = 2.0
+RESPONSE_TIME_VALID_SECONDS = 2.0
 NEVER = float("-inf")
 # Late packets of a flow that has ended still go to the endpoint, which answers them.
-ENDED_SECONDS = 10.0
-LIMIT = 200_000
+ENDED_FLOW_SECONDS = 10.0
+MAX_FLOWS = 200_000
 # Starts of flows that are kept to tell how many began of late.
-KEPT_STARTS = 32
+MAX_RECENT_STARTS = 32
 
 
-class Doubt(NamedTuple):
+class UnconfirmedPacket(NamedTuple):
     """A packet of an unknown flow that the endpoint has been handed.
 
-    ``origin`` is the balancer it came from, ``at`` when. ``is_try`` says that the
+    ``balancer`` is the balancer it came from, ``at`` when. ``is_try`` says that the
     balancer seeks the owner and keeps the packet.
     """
 
-    origin: str
+    balancer: str
     is_try: bool
-    at: float
+    forwarded_at: float
 
 
-NO_DOUBT = Doubt("", False, 0.0)
+NO_UNCONFIRMED_PACKET = UnconfirmedPacket("", False, 0.0)
 
 
 @dataclass(slots=True)
 class OwnedFlow:
     """One flow.
 
-    ``origin`` is the balancer that its first packet came over and ``homes`` the agents
+    ``balancer`` is the balancer that its first packet came over and ``homes`` the agents
     that record the owner. ``urgency`` is what the route said when the flow
-    opened. ``opened`` says that the endpoint surely holds it, as it has sent more
+    opened. ``established`` says that the endpoint surely holds it, as it has sent more
     than its answer to the first packet. ``acknowledged`` is what the client has
-    acknowledged last. ``request_at`` is when a request began, ``NO_REQUEST`` for none.
+    acknowledged last. ``request_started_at`` is when a request began, ``NO_REQUEST`` for none.
     ``is_learned`` says that the flow opened before this process started, and that no
     request that this process saw has been answered yet. ``sent_up_to`` is the sequence
     number up to which the endpoint got data, None before the first. Times are of the
     loop's clock, in seconds.
     """
 
-    origin: str
+    balancer: str
     homes: tuple[int, int]
     started_at: float
     used_at: float
-    urgency: Urgency = UNKNOWN
-    answered: bool = False
-    opened: bool = False
+    urgency: Urgency = DEFAULT_URGENCY
+    accepted: bool = False
+    established: bool = False
     ended: bool = False
     acknowledged: int = 0
-    request_at: float = NO_REQUEST
+    request_started_at: float = NO_REQUEST
     is_learned: bool = False
     sent_up_to: int | None = None
 
 
-def is_repeat(owned: OwnedFlow, sequence: int, length: int) -> bool:
+def is_retransmission(owned: OwnedFlow, sequence: int, length: int) -> bool:
     """Whether the endpoint has been handed all data of a packet before.
 
     A client that lost an answer repeats its request. The endpoint only sends its answer
@@ -86,7 +86,7 @@
     """
     if owned.sent_up_to is None:
         return False
-    return (sequence + length - owned.sent_up_to) & SEQUENCE_MASK not in AHEAD
+    return (sequence + length - owned.sent_up_to) & SEQUENCE_MASK not in AHEAD_RANGE
 
 
 @dataclass
@@ -101,10 +101,12 @@
     by_flow: dict[int, OwnedFlow] = field(default_factory=dict)
     requests: dict[int, float] = field(default_factory=dict)
     open_flows: int = 0
-    pace_seconds: float = 0.0
-    paced_at: float = NEVER
-    starts: deque[float] = field(default_factory=lambda: deque(maxlen=KEPT_STARTS))
-    answer_times: Histogram = field(default_factory=Histogram)
+    response_seconds: float = 0.0
+    response_time_updated_at: float = NEVER
+    recent_starts: deque[float] = field(
+        default_factory=lambda: deque(maxlen=MAX_RECENT_STARTS)
+    )
+    response_times: Histogram = field(default_factory=Histogram)
 
     def __len__(self) -> int:
         return len(self.by_flow)
@@ -114,58 +116,68 @@
         """How many requests are at the endpoint."""
         return len(self.requests)
 
-    def pace_now(self, now: float) -> float:
+    def response_seconds_now(self, now: float) -> float:
         """Return how long the endpoint takes for a request now, 0.0 if not known.
 
         A request that has run for much longer than usual says so before its answer
         does. Without a request and an answer for some time the endpoint may have
         become quick or slow unseen.
         """
-        began_at = next(iter(self.requests.values()), None)
-        if began_at is not None:
-            overdue = (now - began_at) / OVERDUE_PACES
-            return max(self.pace_seconds, overdue)
-        return self.pace_seconds if now - self.paced_at <= PACE_KEPT_SECONDS else 0.0
+        started_at = next(iter(self.requests.values()), None)
+        if started_at is not None:
+            overdue = (now - started_at) / OVERDUE_FACTOR
+            return max(self.response_seconds, overdue)
+        return (
+            self.response_seconds
+            if now - self.response_time_updated_at <= RESPONSE_TIME_VALID_SECONDS
+            else 0.0
+        )
 
     def get(self, flow: int) -> OwnedFlow | None:
         """Return a flow, None if it isn't known here."""
         return self.by_flow.get(flow)
 
     def start(
-        self, flow: int, origin: str, homes: tuple[int, int], now: float
+        self, flow: int, balancer: str, homes: tuple[int, int], now: float
     ) -> OwnedFlow:
         """Begin a flow in place of any older one of its number."""
         self.remove(flow)
-        if len(self.by_flow) >= LIMIT:
+        if len(self.by_flow) >= MAX_FLOWS:
             self.remove(next(iter(self.by_flow)))
-        owned = OwnedFlow(origin, homes, now, now)
+        owned = OwnedFlow(balancer, homes, now, now)
         self.by_flow[flow] = owned
-        self.starts.append(now)
+        self.recent_starts.append(now)
         return owned
 
-    def opened_since(self, then: float) -> int:
+    def started_since(self, earliest: float) -> int:
         """Return how many flows began after a time, as far as kept."""
-        return sum(1 for at in self.starts if at > then)
+        return sum(1 for at in self.recent_starts if at > earliest)
 
-    def sent(self, flow: int, owned: OwnedFlow, head: Head, now: float) -> None:
+    def record_sent(
+        self, flow: int, owned: OwnedFlow, header: PacketHeader, now: float
+    ) -> None:
         """Note a packet on its way to the endpoint; new data begins a request."""
         owned.used_at = now
-        owned.acknowledged = head.acknowledged
-        if not head.length or is_repeat(owned, head.sequence, head.length):
+        owned.acknowledged = header.acknowledged
+        if not header.length or is_retransmission(
+            owned, header.sequence, header.length
+        ):
             return
-        owned.sent_up_to = (head.sequence + head.length) & SEQUENCE_MASK
-        if owned.request_at == NO_REQUEST:
-            owned.request_at = now
+        owned.sent_up_to = (header.sequence + header.length) & SEQUENCE_MASK
+        if owned.request_started_at == NO_REQUEST:
+            owned.request_started_at = now
             self.requests[flow] = now
 
-    def answered(self, flow: int, owned: OwnedFlow, length: int, now: float) -> None:
+    def record_response(
+        self, flow: int, owned: OwnedFlow, length: int, now: float
+    ) -> None:
         """Note a packet of the endpoint after its first; data answers the request."""
         owned.used_at = now
-        if not owned.opened:
-            owned.opened = True
+        if not owned.established:
+            owned.established = True
             self.open_flows += 1
         if length:
-            self._end_answered(flow, owned, now)
+            self._complete_request(flow, owned, now)
         elif owned.is_learned:
             # An acknowledgement without data, on a flow that opened before this process
             # started: the endpoint has had the request before. Its answer was lost with
@@ -173,40 +185,42 @@
             # Nothing runs, so no slot is filled.
             self.end_request(flow, owned)
 
-    def _end_answered(self, flow: int, owned: OwnedFlow, now: float) -> None:
-        if owned.request_at == NO_REQUEST:
+    def _complete_request(self, flow: int, owned: OwnedFlow, now: float) -> None:
+        if owned.request_started_at == NO_REQUEST:
             return
-        took = now - owned.request_at
+        duration = now - owned.request_started_at
         owned.is_learned = False
         self.end_request(flow, owned)
-        self.answer_times.observe(took)
-        self.pace_seconds += PACE_SHARE * (took - self.pace_seconds)
-        self.paced_at = now
+        self.response_times.observe(duration)
+        self.response_seconds += RESPONSE_TIME_WEIGHT * (
+            duration - self.response_seconds
+        )
+        self.response_time_updated_at = now
 
     def end(self, flow: int, owned: OwnedFlow) -> None:
         """Note that one of its ends has closed a flow."""
         self.end_request(flow, owned)
-        if owned.opened and not owned.ended:
+        if owned.established and not owned.ended:
             self.open_flows -= 1
         owned.ended = True
 
     def end_request(self, flow: int, owned: OwnedFlow) -> None:
         """Note that a flow's request no longer runs."""
-        owned.request_at = NO_REQUEST
+        owned.request_started_at = NO_REQUEST
         self.requests.pop(flow, None)
 
-    def forget_lost_requests(self, now: float) -> int:
+    def drop_lost_requests(self, now: float) -> int:
         """Forget requests that have run for so long that they are taken for lost.
 
         Returns:
             How many of them this process has seen begin.
         """
-        usual = LOST_REQUEST_PACES * self.pace_seconds
-        limit = max(LOST_REQUEST_SECONDS, usual)
+        multiple_of_mean = LOST_REQUEST_FACTOR * self.response_seconds
+        limit = max(LOST_REQUEST_SECONDS, multiple_of_mean)
         lost = 0
         while self.requests:
-            flow, began_at = next(iter(self.requests.items()))
-            if now - began_at <= limit:
+            flow, started_at = next(iter(self.requests.items()))
+            if now - started_at <= limit:
                 break
             owned = self.by_flow[flow]
             lost += not owned.is_learned
@@ -227,6 +241,6 @@
     def sweep(self, now: float) -> None:
         """Forget flows that have ended, or are too old to be spoken of."""
         for flow, owned in list(self.by_flow.items()):
-            kept = ENDED_SECONDS if owned.ended else self.flow_seconds
-            if now - owned.used_at > kept:
+            retention_seconds = ENDED_FLOW_SECONDS if owned.ended else self.flow_seconds
+            if now - owned.used_at > retention_seconds:
                 self.remove(flow)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/hello.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/hello.py
@@ -11,13 +11,13 @@
 from cornelspan_passthrough.pulses import Hello
 from cornelspan_passthrough.settings import PassthroughSettings, socket_address
 
-HELLO_SECONDS = 1.0
+HELLO_INTERVAL_SECONDS = 1.0
 
 
-async def greet(
+async def send_hellos(
     settings: PassthroughSettings,
     member: Member,
-    daemons: DatagramSocket,
+    daemon_socket: DatagramSocket,
     is_known: Callable[[], bool],
 ) -> None:
     """Speak up until this daemon is known.
@@ -36,5 +36,5 @@
     while not is_known():
         for address in addresses:
             if address != settings.address:
-                daemons.send(datagram, (address, settings.internal_port))
-        await asyncio.sleep(HELLO_SECONDS)
+                daemon_socket.send(datagram, (address, settings.internal_port))
+        await asyncio.sleep(HELLO_INTERVAL_SECONDS)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/homes.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/homes.py
@@ -13,7 +13,7 @@
 
 # A record at two agents survives the loss of one VM. With both gone all agents are
 # asked, so a third would save little and cost a datagram for each new flow.
-COPIES = 2
+REPLICAS = 2
 # Flows are ranked by shard, each shard once a membership: ranking costs about a
 # microsecond an agent, too much for each flow. 16,384 shards over 3,500 agents are
 # close to five an agent.
@@ -41,6 +41,6 @@
         homes = self.by_shard.get(shard)
         if homes is None:
             ranked = rank(flow_key(str(shard)), self.seeds)
-            homes = tuple(ranked[:COPIES])
+            homes = tuple(ranked[:REPLICAS])
             self.by_shard[shard] = homes
         return homes
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/http.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/http.py
@@ -7,19 +7,19 @@
 from tornado.httpserver import HTTPServer
 from tornado.httputil import HTTPHeaders, HTTPServerRequest, ResponseStartLine
 
-from cornelspan_passthrough.http_messages import Answer, Call, Handler
-from cornelspan_passthrough.listeners import listening
+from cornelspan_passthrough.http_messages import Handler, HTTPRequest, HTTPResponse
+from cornelspan_passthrough.listeners import listening_socket
 
 
 @contextmanager
 def http_server(address: tuple[str, int], handler: Handler) -> Iterator[None]:
     """Answer calls at an address by a function until the context ends."""
-    with listening(address) as listener, http_answers(listener, handler):
+    with listening_socket(address) as listener, serve_listener(listener, handler):
         yield
 
 
 @contextmanager
-def http_answers(listener: socket.socket, handler: Handler) -> Iterator[None]:
+def serve_listener(listener: socket.socket, handler: Handler) -> Iterator[None]:
     """Answer calls that come to a socket by a function until the context ends.
 
     The function is called as soon as a request is whole and must not wait. Tornado's
@@ -27,8 +27,8 @@
     """
 
     def serve(request: HTTPServerRequest) -> None:
-        call = Call(request.method or "", request.path, request.body)
-        _answer(request, handler(call))
+        http_request = HTTPRequest(request.method or "", request.path, request.body)
+        _send_response(request, handler(http_request))
 
     server = HTTPServer(serve)
     server.add_socket(listener)
@@ -38,16 +38,16 @@
         server.stop()
 
 
-def _answer(request: HTTPServerRequest, answer: Answer) -> None:
+def _send_response(request: HTTPServerRequest, response: HTTPResponse) -> None:
     headers = HTTPHeaders(
         {
-            "Content-Length": str(len(answer.body)),
-            "Content-Type": answer.content_type,
+            "Content-Length": str(len(response.body)),
+            "Content-Type": response.content_type,
         }
     )
-    line = ResponseStartLine("HTTP/1.1", answer.status, "")
+    line = ResponseStartLine("HTTP/1.1", response.status, "")
     connection = request.connection
     if connection is None:
         return
-    connection.write_headers(line, headers, answer.body)
+    connection.write_headers(line, headers, response.body)
     connection.finish()
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/http_messages.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/http_messages.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class HTTPResponse:
     """Status, body and type of the body."""
 
     status: int
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class HTTPRequest:
     """What a caller asks."""
 
     method: str
@@ -30,5 +30,5 @@
     body: bytes
 
 
-NOT_FOUND = Answer(404)
-Handler = Callable[[Call], Answer]
+NOT_FOUND = HTTPResponse(404)
+Handler = Callable[[HTTPRequest], HTTPResponse]
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/listeners.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/listeners.py
@@ -5,18 +5,18 @@
 from contextlib import contextmanager
 
 # Calls of one endpoint, of routers, and of a few peers at once.
-BACKLOG = 64
+CONNECTION_BACKLOG = 64
 
 
 @contextmanager
-def listening(address: tuple[str, int]) -> Iterator[socket.socket]:
+def listening_socket(address: tuple[str, int]) -> Iterator[socket.socket]:
     """Yield a socket that takes connections until the context ends."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listener.setblocking(False)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(address)
-        listener.listen(BACKLOG)
+        listener.listen(CONNECTION_BACKLOG)
         yield listener
     finally:
         listener.close()
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/messages.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/messages.py
@@ -27,7 +27,7 @@
 DELIVER = 2
 FIND = 3
 ASK = 4
-REFUSED = 5
+REJECTED = 5
 NOT_HERE = 6
 OWNED = 7
 UNKNOWN = 8
@@ -36,25 +36,25 @@
 PONG = 11
 HELLO = 12
 GONE = 13
-PASSED = 14
+FORWARDED = 14
 MAYBE = 15
 TRY = 16
 
 FLOW_BYTES = 12
-OPEN_HEAD = struct.Struct("<BBHHHIII?")
-LONGEST_MILLISECONDS = 65_535
+OPEN_HEADER = struct.Struct("<BBHHHIII?")
+MAX_MILLISECONDS = 65_535
 LOWEST_PRIORITY = 255
-FLOW_HEAD = struct.Struct("<BB12sI")
-NOBODY = 0
-PASSED_HEAD = 5
+FLOW_HEADER = struct.Struct("<BB12sI")
+NO_ADDRESS = 0
+FORWARDED_HEADER_BYTES = 5
 
 
-class Open(NamedTuple):
+class OpenMessage(NamedTuple):
     """A first packet on its way to an endpoint of a service.
 
     ``urgency`` is that of the flow's requests. ``service_tag`` stands for the service
     that the balancer chose. ``homes`` are the addresses of the agents that shall record
-    the owner, ``NOBODY`` for none. ``is_final`` says that no other endpoint is left to
+    the owner, ``NO_ADDRESS`` for none. ``is_final`` says that no other endpoint is left to
     try, so that one that is merely busy takes it.
     """
 
@@ -65,7 +65,7 @@
     packet: bytes
 
 
-class FlowNote(NamedTuple):
+class FlowMessage(NamedTuple):
     """A short message on a flow; ``agent`` is the address of the agent it names."""
 
     kind: int
@@ -75,27 +75,27 @@
     packet: bytes
 
 
-def encode_open(hop: Open) -> bytes:
+def encode_open(message: OpenMessage) -> bytes:
     """Return the datagram of a first packet."""
-    priority, *milliseconds = hop.urgency
-    head = OPEN_HEAD.pack(
+    priority, *milliseconds = message.urgency
+    header = OPEN_HEADER.pack(
         OPEN,
         min(LOWEST_PRIORITY, priority),
-        *(min(LONGEST_MILLISECONDS, each) for each in milliseconds),
-        hop.service_tag,
-        *hop.homes,
-        hop.is_final,
+        *(min(MAX_MILLISECONDS, each) for each in milliseconds),
+        message.service_tag,
+        *message.homes,
+        message.is_final,
     )
-    return head + hop.packet
+    return header + message.packet
 
 
-def decode_open(data: bytes) -> Open | None:
+def decode_open(data: bytes) -> OpenMessage | None:
     """Return the first packet that a datagram carries; None for a broken one."""
-    if len(data) < OPEN_HEAD.size:
+    if len(data) < OPEN_HEADER.size:
         return None
-    _, *urgency, tag, first, second, is_final = OPEN_HEAD.unpack_from(data)
-    packet = data[OPEN_HEAD.size :]
-    return Open(Urgency(*urgency), tag, (first, second), is_final, packet)
+    _, *urgency, tag, first, second, is_final = OPEN_HEADER.unpack_from(data)
+    packet = data[OPEN_HEADER.size :]
+    return OpenMessage(Urgency(*urgency), tag, (first, second), is_final, packet)
 
 
 def encode_packet(kind: int, packet: bytes) -> bytes:
@@ -103,46 +103,53 @@
     return bytes((kind,)) + packet
 
 
-def encode_passed(packet: bytes, balancer: str) -> bytes:
+def encode_forwarded(packet: bytes, balancer: str) -> bytes:
     """Return the datagram of a packet that a home passes on for a balancer."""
-    return bytes((PASSED,)) + IPv4Address(balancer).packed + packet
+    return bytes((FORWARDED,)) + IPv4Address(balancer).packed + packet
 
 
-def decode_passed(data: bytes) -> tuple[str, bytes]:
-    """Return the balancer's address and the packet of a ``PASSED`` datagram."""
-    return str(IPv4Address(data[1:PASSED_HEAD])), data[PASSED_HEAD:]
+def decode_forwarded(data: bytes) -> tuple[str, bytes]:
+    """Return the balancer's address and the packet of a ``FORWARDED`` datagram."""
+    return str(IPv4Address(data[1:FORWARDED_HEADER_BYTES])), data[
+        FORWARDED_HEADER_BYTES:
+    ]
 
 
-def encode_note(
-    kind: int, flow: int, *, agent: int = NOBODY, detail: int = 0, packet: bytes = b""
+def encode_flow_message(
+    kind: int,
+    flow: int,
+    *,
+    agent: int = NO_ADDRESS,
+    detail: int = 0,
+    packet: bytes = b"",
 ) -> bytes:
     """Return the datagram of a message on a flow."""
     number = flow.to_bytes(FLOW_BYTES, "little")
-    return FLOW_HEAD.pack(kind, detail, number, agent) + packet
+    return FLOW_HEADER.pack(kind, detail, number, agent) + packet
 
 
-def decode_note(data: bytes) -> FlowNote | None:
+def decode_flow_message(data: bytes) -> FlowMessage | None:
     """Return the message on a flow that a datagram carries; None for a broken one."""
-    if len(data) < FLOW_HEAD.size:
+    if len(data) < FLOW_HEADER.size:
         return None
-    kind, detail, number, agent = FLOW_HEAD.unpack_from(data)
+    kind, detail, number, agent = FLOW_HEADER.unpack_from(data)
     flow = int.from_bytes(number, "little")
-    return FlowNote(kind, detail, flow, agent, data[FLOW_HEAD.size :])
+    return FlowMessage(kind, detail, flow, agent, data[FLOW_HEADER.size :])
 
 
-FOREIGN_SERVICE = 1
-ENDPOINT_LEAVES = 2
+WRONG_SERVICE = 1
+ENDPOINT_DRAINING = 2
 ENDPOINT_DOWN = 3
 ENDPOINT_FULL = 4
 ENDPOINT_BUSY = 5
 ENDPOINT_PROBED = 6
-ENDPOINT_FOREIGN = 7
-REASONS = {
-    FOREIGN_SERVICE: "foreign service",
-    ENDPOINT_LEAVES: "endpoint leaves",
+ENDPOINT_WRONG_SERVICE = 7
+REJECTION_REASONS = {
+    WRONG_SERVICE: "foreign service",
+    ENDPOINT_DRAINING: "endpoint leaves",
     ENDPOINT_DOWN: "endpoint down",
     ENDPOINT_FULL: "endpoint full",
     ENDPOINT_BUSY: "endpoint busy",
     ENDPOINT_PROBED: "endpoint is tried with one request",
-    ENDPOINT_FOREIGN: "another service reports at the endpoint's address",
+    ENDPOINT_WRONG_SERVICE: "another service reports at the endpoint's address",
 }
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/metrics.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/metrics.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from cornelspan_passthrough.histograms import Histogram
-from cornelspan_passthrough.http_messages import Answer
+from cornelspan_passthrough.http_messages import HTTPResponse
 
 if TYPE_CHECKING:
     from cornelspan_passthrough.agent import Agent
@@ -28,7 +28,7 @@
     return "\n".join([*lines, ""]).encode()
 
 
-def balancer_page(balancer: "Balancer") -> Answer:
+def balancer_page(balancer: "Balancer") -> HTTPResponse:
     """Return a balancer's metrics."""
     values = {f"{name}_total": count for name, count in balancer.counts.items()}
     values["client_packets_total"] = balancer.client_packets
@@ -40,23 +40,25 @@
         balancer.clients.dropped + balancer.daemons.dropped
     )
     histograms = {"search_seconds": balancer.search_times}
-    return Answer(200, metrics_text(values, histograms))
+    return HTTPResponse(200, metrics_text(values, histograms))
 
 
-def agent_page(agent: "Agent") -> Answer:
+def agent_page(agent: "Agent") -> HTTPResponse:
     """Return an agent's metrics."""
     values = {f"{name}_total": count for name, count in agent.counts.items()}
     values["flows"] = len(agent.flows)
     values["requests_running"] = agent.flows.running
-    values["requests_waiting"] = len(agent.waiting)
-    values["requests_expired_total"] = agent.waiting.expired
-    values["repeats_dropped_total"] = agent.waiting.repeats
+    values["requests_waiting"] = len(agent.request_queue)
+    values["requests_expired_total"] = agent.request_queue.expired
+    values["repeats_dropped_total"] = agent.request_queue.repeats
     values["recorded_owners"] = len(agent.directory)
-    values["pace_seconds"] = agent.flows.pace_seconds
+    values["pace_seconds"] = agent.flows.response_seconds
     values["endpoint_state"] = agent.endpoint.state
-    values["datagrams_dropped_total"] = agent.local.dropped + agent.daemons.dropped
+    values["datagrams_dropped_total"] = (
+        agent.packet_socket.dropped + agent.daemon_socket.dropped
+    )
     histograms = {
-        "answer_seconds": agent.flows.answer_times,
+        "answer_seconds": agent.flows.response_times,
         "waiting_seconds": agent.waiting_times,
     }
-    return Answer(200, metrics_text(values, histograms))
+    return HTTPResponse(200, metrics_text(values, histograms))
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/outlier_detection.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/outlier_detection.py
@@ -14,78 +14,82 @@
 from cornelspan_common.logs import get_log
 from cornelspan_passthrough import messages
 from cornelspan_passthrough.flows import NO_REQUEST, OwnedFlow
-from cornelspan_passthrough.packet_headers import FIN, RST, Head
+from cornelspan_passthrough.packet_headers import FIN, RST, PacketHeader
 
 if TYPE_CHECKING:
     from cornelspan_passthrough.agent import Agent
 
 # A probe's first request follows its first packet after a round trip to the client.
-PROBE_SECONDS = 0.05
+FIRST_REQUEST_SECONDS = 0.05
 
 log = get_log(__name__)
 
 
-def judge_packet(agent: "Agent", owned: OwnedFlow, head: Head, now: float) -> None:
+def record_packet(
+    agent: "Agent", owned: OwnedFlow, header: PacketHeader, now: float
+) -> None:
     """Take in a packet of the endpoint, before the flow's request is ended by it.
 
     Flows that opened before this process started are left out: what they run is not
     known, and their clients may have gone.
     """
-    if owned.request_at == NO_REQUEST or owned.is_learned:
+    if owned.request_started_at == NO_REQUEST or owned.is_learned:
         return
-    if head.length:
-        judge(agent, 1, now, succeeded=True)
-    elif head.flags & (FIN | RST):
-        judge(agent, 1, now, succeeded=False)
+    if header.length:
+        record_outcomes(agent, 1, now, succeeded=True)
+    elif header.flags & (FIN | RST):
+        record_outcomes(agent, 1, now, succeeded=False)
 
 
-def judge_lost_requests(agent: "Agent", now: float) -> None:
+def record_lost_requests(agent: "Agent", now: float) -> None:
     """Forget requests that seem to be lost, and hold them against the endpoint."""
-    lost = agent.flows.forget_lost_requests(now)
+    lost = agent.flows.drop_lost_requests(now)
     if lost:
-        judge(agent, lost, now, succeeded=False)
+        record_outcomes(agent, lost, now, succeeded=False)
 
 
-def judge(agent: "Agent", count: int, now: float, *, succeeded: bool) -> None:
+def record_outcomes(agent: "Agent", count: int, now: float, *, succeeded: bool) -> None:
     """Count outcomes of requests, and tell all balancers when they change the standing.
 
     Balancers pass over an endpoint that is out, but not when too many are: the limit is
     theirs, as an agent doesn't know the others.
     """
-    judgement = agent.judgement
-    was = judgement.standing(now)
+    detector = agent.outlier_detector
+    before = detector.standing(now)
     for _ in range(count):
         if succeeded:
-            judgement.succeed(now)
+            detector.succeed(now)
         else:
-            judgement.fail(agent.settings.ejection, now, room=True)
-    stands = judgement.standing(now)
-    if stands is was:
+            detector.fail(agent.settings.ejection, now, room=True)
+    after = detector.standing(now)
+    if after is before:
         return
     extra = {
-        "life": str(agent.endpoint.life),
-        "was": was.value,
-        "stands": stands.value,
-        "for_ms": max(0, round((judgement.ejected_until - now) * 1000)),
-        "ejections": judgement.ejections,
+        "life": str(agent.endpoint.incarnation),
+        "was": before.value,
+        "stands": after.value,
+        "for_ms": max(0, round((detector.ejected_until - now) * 1000)),
+        "ejections": detector.ejections,
     }
     log.info("endpoint's standing changed", extra=extra)
     agent.counts["standing_changes"] += 1
-    agent.tell_balancers(now)
+    agent.send_pongs(now)
 
 
 def is_ejected(agent: "Agent", now: float) -> bool:
     """Whether new flows should go elsewhere."""
-    return agent.judgement.standing(now) is Standing.OUT
+    return agent.outlier_detector.standing(now) is Standing.OUT
 
 
-def probe_refusal(agent: "Agent", now: float) -> int:
+def probe_rejection_reason(agent: "Agent", now: float) -> int:
     """Return why an endpoint that is tried again takes no further flow; 0 if it does.
 
     One request at a time shows whether it has recovered. More would be lost with it:
     it is idle, so every balancer sends it what has just come.
     """
-    if agent.judgement.standing(now) is not Standing.PROBING:
+    if agent.outlier_detector.standing(now) is not Standing.PROBING:
         return 0
-    probes = agent.flows.running + agent.flows.opened_since(now - PROBE_SECONDS)
+    probes = agent.flows.running + agent.flows.started_since(
+        now - FIRST_REQUEST_SECONDS
+    )
     return messages.ENDPOINT_PROBED if probes else 0
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/packet_headers.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/packet_headers.py
@@ -23,7 +23,7 @@
 ROUTE_MASK = (1 << ROUTE_BITS) - 1
 
 
-class Head(NamedTuple):
+class PacketHeader(NamedTuple):
     """What a packet says of itself.
 
     ``flow`` is the same number for both directions, see ``flow_number``. ``flags`` are
@@ -49,11 +49,11 @@
     tells how long a client has waited already when it sends a first packet.
     """
 
-    read_client: Callable[[bytes], Head | None]
-    read_endpoint: Callable[[bytes], Head | None]
+    read_client: Callable[[bytes], PacketHeader | None]
+    read_endpoint: Callable[[bytes], PacketHeader | None]
     marked: Callable[[bytes, int], bytes]
     reset: Callable[[int, int], bytes]
-    waited_seconds: Callable[[Head], float]
+    waited_seconds: Callable[[PacketHeader], float]
 
 
 def flow_number(
@@ -100,8 +100,8 @@
     """
     client = flow >> ROUTE_BITS
     route = flow & ROUTE_MASK
-    return f"{_end_text(client)}>{_end_text(route)}"
+    return f"{_address_port_text(client)}>{_address_port_text(route)}"
 
 
-def _end_text(end: int) -> str:
-    return f"{address_text(end >> PORT_BITS)}:{end & PORT_MASK}"
+def _address_port_text(address_port: int) -> str:
+    return f"{address_text(address_port >> PORT_BITS)}:{address_port & PORT_MASK}"
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/request_queue.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/request_queue.py
@@ -13,34 +13,36 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from cornelspan_passthrough.urgency import Times
+from cornelspan_passthrough.urgency import Deadlines
 
 # A flow's ends have at most this many packets in flight.
-FLOW_PACKETS = 16
+MAX_FLOW_PACKETS = 16
 # Requests held at once. At two slots and 40 ms this is more than what any time budget
 # of some seconds lets through; beyond it the longest wait is given up first.
-LIMIT = 512
+MAX_REQUESTS = 512
 
 
 @dataclass(slots=True)
-class Held:
+class QueuedRequest:
     """One flow's request that waits.
 
-    ``priority`` is the route's, 0 the highest. ``until`` tells how long its answer is
-    worth something, and ``since`` when it began to wait, in seconds of the loop's
+    ``priority`` is the route's, 0 the highest. ``deadlines`` tells how long its answer is
+    worth something, and ``queued_at`` when it began to wait, in seconds of the loop's
     clock. ``packets`` are by sequence number, so a caller's repeat takes no room.
     """
 
     priority: int
-    until: Times
-    since: float
+    deadlines: Deadlines
+    queued_at: float
     packets: dict[int, bytes] = field(default_factory=dict)
 
 
-Order = Callable[[Held, float], tuple[float, ...]]
+RequestOrder = Callable[[QueuedRequest, float], tuple[float, ...]]
 
 
-def on_time_first(held: Held, soonest: float) -> tuple[float, ...]:
+def on_time_first(
+    request: QueuedRequest, earliest_response: float
+) -> tuple[float, ...]:
     """Return a request's place in the line; the least goes first.
 
     One that can't be done in its time comes after all that can, or a crowd's oldest
@@ -55,39 +57,46 @@
         held: The request.
         soonest: When it would be answered if it ran now.
     """
-    target, deadline = held.until
-    return deadline < soonest, held.priority, target < soonest, deadline
+    target, deadline = request.deadlines
+    return (
+        deadline < earliest_response,
+        request.priority,
+        target < earliest_response,
+        deadline,
+    )
 
 
 @dataclass
-class WaitingLine:
+class RequestQueue:
     """The requests that wait, by flow; ``order`` says which goes first."""
 
-    order: Order = on_time_first
+    order: RequestOrder = on_time_first
 
-    by_flow: dict[int, Held] = field(default_factory=dict)
+    by_flow: dict[int, QueuedRequest] = field(default_factory=dict)
     repeats: int = 0
     expired: int = 0
 
     def __len__(self) -> int:
         return len(self.by_flow)
 
-    def holds(self, flow: int) -> bool:
+    def contains(self, flow: int) -> bool:
         """Whether a request of a flow waits."""
         return flow in self.by_flow
 
-    def hold(self, flow: int, held: Held, packet: bytes, sequence: int) -> None:
+    def push(
+        self, flow: int, request: QueuedRequest, packet: bytes, sequence: int
+    ) -> None:
         """Let a request wait, by its first packet."""
-        if len(self.by_flow) >= LIMIT:
+        if len(self.by_flow) >= MAX_REQUESTS:
             del self.by_flow[next(iter(self.by_flow))]
             self.expired += 1
-        held.packets[sequence] = packet
-        self.by_flow[flow] = held
+        request.packets[sequence] = packet
+        self.by_flow[flow] = request
 
-    def add(self, flow: int, packet: bytes, sequence: int) -> None:
+    def add_packet(self, flow: int, packet: bytes, sequence: int) -> None:
         """Keep a further packet of a request that waits; drop the caller's repeats."""
         packets = self.by_flow[flow].packets
-        if sequence in packets or len(packets) >= FLOW_PACKETS:
+        if sequence in packets or len(packets) >= MAX_FLOW_PACKETS:
             self.repeats += 1
             return
         packets[sequence] = packet
@@ -96,23 +105,28 @@
         """Forget a flow that has ended."""
         self.by_flow.pop(flow, None)
 
-    def take(self, now: float, pace_seconds: float) -> tuple[int, Held] | None:
+    def pop(
+        self, now: float, response_seconds: float
+    ) -> tuple[int, QueuedRequest] | None:
         """Take the request that shall run next, None if none waits."""
         if not self.by_flow:
             return None
-        soonest = now + pace_seconds
+        earliest_response = now + response_seconds
         flow = min(
-            self.by_flow, key=lambda flow: self.order(self.by_flow[flow], soonest)
+            self.by_flow,
+            key=lambda flow: self.order(self.by_flow[flow], earliest_response),
         )
         return flow, self.by_flow.pop(flow)
 
-    def forget_expired(self, now: float) -> list[int]:
+    def drop_expired(self, now: float) -> list[int]:
         """Forget requests whose callers have given up, and return their flows.
 
         Run now, they would take slots for answers that nobody reads.
         """
         flows = [
-            flow for flow, held in self.by_flow.items() if held.until.deadline <= now
+            flow
+            for flow, request in self.by_flow.items()
+            if request.deadlines.deadline <= now
         ]
         for flow in flows:
             del self.by_flow[flow]
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
@@ -10,11 +10,16 @@
 from cornelspan_common.logs import get_log
 from cornelspan_common.tasks import task_group
 from cornelspan_passthrough.agent import Agent
-from cornelspan_passthrough.delivery import release
-from cornelspan_passthrough.endpoint import Hearing, Life, Report
-from cornelspan_passthrough.hello import greet
-from cornelspan_passthrough.http import http_answers, http_server
-from cornelspan_passthrough.http_messages import JSON, NOT_FOUND, Answer, Call
+from cornelspan_passthrough.delivery import release_requests
+from cornelspan_passthrough.endpoint import Incarnation, Report, ReportOutcome
+from cornelspan_passthrough.hello import send_hellos
+from cornelspan_passthrough.http import http_server, serve_listener
+from cornelspan_passthrough.http_messages import (
+    JSON,
+    NOT_FOUND,
+    HTTPRequest,
+    HTTPResponse,
+)
 from cornelspan_passthrough.listing import list_member
 from cornelspan_passthrough.members import AGENT, Member
 from cornelspan_passthrough.messages import GONE
@@ -25,53 +30,53 @@
 from cornelspan_passthrough.settings import PassthroughAgentSettings
 from cornelspan_passthrough.store import Backoff, OpenStore, PlatformStore
 
-SWEEP_SECONDS = 2.0
+SWEEP_INTERVAL_SECONDS = 2.0
 # How often requests that wait are looked at when nothing else makes room for them.
-RELEASE_SECONDS = 0.05
+RELEASE_INTERVAL_SECONDS = 0.05
 # The endpoint's life is looked at this often while a report is missing.
-PROBE_SECONDS = 0.1
+PROBE_INTERVAL_SECONDS = 0.1
 PROBE_TIMEOUT_SECONDS = 0.3
 # Without a ping for this long, or unlisted in the pings for this long, an agent lists
 # itself anew: its entry may have been taken away.
-UNHEARD_SECONDS = 3.0
+PING_TIMEOUT_SECONDS = 3.0
 # With no balancer alive, each try doubles the wait up to this, so that a fleet of
 # thousands writes no more than some hundred times a second.
-LONGEST_UNHEARD_SECONDS = 30.0
-LISTING_SECONDS = 1.0
+MAX_PING_TIMEOUT_SECONDS = 30.0
+LISTING_CHECK_SECONDS = 1.0
 # Time for other daemons to hear that this one stops.
-STOP_SECONDS = 0.1
+STOP_DELAY_SECONDS = 0.1
 
 log = get_log(__name__)
 
 
-class Probe(Enum):
+class ProbeOutcome(Enum):
     """What a connection to the endpoint's address has shown."""
 
-    TAKEN = auto()
+    ACCEPTED = auto()
     REFUSED = auto()
     UNANSWERED = auto()
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class LeaveCall:
     """An endpoint's word that a life of it is over."""
 
-    life: Life
+    incarnation: Incarnation
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class InvalidCall:
     """A call of the endpoint that can't be read, and why."""
 
     reason: str
 
 
-EndpointCall = Report | Left | Refused | None
-ReadCall = Callable[[Call], EndpointCall]
+EndpointCall = Report | LeaveCall | InvalidCall | None
+DecodeCall = Callable[[HTTPRequest], EndpointCall]
 
 
 async def run_agent(
-    agent: Agent, open_store: OpenStore, read_call: ReadCall, orders: Orders
+    agent: Agent, open_store: OpenStore, decode_call: DecodeCall, orders: Orders
 ) -> None:
     """Run an agent until it is told to stop.
 
@@ -86,13 +91,18 @@
         serving.enter_context(reading(agent.sockets))
         async with task_group() as tasks:
             member = _member(settings)
-            tasks.start(_sweep(agent), name="sweep")
-            tasks.start(_release(agent), name="release")
+            tasks.start(_sweep_periodically(agent), name="sweep")
+            tasks.start(_release_periodically(agent), name="release")
             tasks.start(
-                greet(settings, member, agent.daemons, lambda: agent.pinged_at > 0),
+                send_hellos(
+                    settings,
+                    member,
+                    agent.daemon_socket,
+                    lambda: agent.last_ping_at > 0,
+                ),
                 name="greeting",
             )
-            _answer_calls(agent, read_call, serving)
+            _serve_http(agent, decode_call, serving)
             store = open_store(settings.store)
             tasks.start(_stay_listed(agent, member, store), name="listing")
             tasks.start(_watch_endpoint(agent), name="endpoint")
@@ -101,45 +111,45 @@
             )
             log.info("started", extra={"address": settings.address})
             await orders.stop.wait()
-            await _leave(agent, store)
+            await _stop(agent, store)
     log.info("stopped", extra={"address": settings.address})
 
 
-def _answer_calls(agent: Agent, read_call: ReadCall, serving: ExitStack) -> None:
+def _serve_http(agent: Agent, decode_call: DecodeCall, serving: ExitStack) -> None:
     """Answer the endpoint's calls, and those for metrics."""
     settings = agent.settings
     now = asyncio.get_running_loop().time
     if agent.report_listener is not None:
         serving.enter_context(
-            http_answers(
+            serve_listener(
                 agent.report_listener,
-                lambda call: answer(agent, read_call(call), now()),
+                lambda request: answer_call(agent, decode_call(request), now()),
             )
         )
     if settings.metrics_port is not None:
         address = (settings.address, settings.metrics_port)
-        serving.enter_context(http_server(address, lambda call: agent_page(agent)))
+        serving.enter_context(http_server(address, lambda request: agent_page(agent)))
 
 
 def _member(settings: PassthroughAgentSettings) -> Member:
     return Member(settings.address, AGENT, settings.datacentre, settings.service)
 
 
-def answer(agent: Agent, call: EndpointCall, now: float) -> Answer:
+def answer_call(agent: Agent, call: EndpointCall, now: float) -> HTTPResponse:
     """Take in what the endpoint says and return the answer to its call."""
     match call:
         case Report():
-            return _answer_report(agent, call, now)
-        case Left(life):
-            agent.leave(life)
-            return Answer(200, b"{}", JSON)
-        case Refused(reason):
-            return _refuse(agent, Answer(400, reason.encode()), reason, now)
+            return _acknowledge_report(agent, call, now)
+        case LeaveCall(incarnation):
+            agent.leave(incarnation)
+            return HTTPResponse(200, b"{}", JSON)
+        case InvalidCall(reason):
+            return _reject_call(agent, HTTPResponse(400, reason.encode()), reason, now)
         case None:
             return NOT_FOUND
 
 
-def _answer_report(agent: Agent, report: Report, now: float) -> Answer:
+def _acknowledge_report(agent: Agent, report: Report, now: float) -> HTTPResponse:
     """Acknowledge a report if it is obeyed.
 
     An endpoint that is told that its word to leave has arrived drains for as long as it
@@ -147,48 +157,53 @@
     would change nothing, and it would still get new flows when that time is over. Not
     acknowledged, it reports again if it lives, and is believed by its second report.
     """
-    match agent.report(report, now):
-        case Hearing.DOUBTED:
-            reason = f"{report.life} is not the life that runs here"
-            return _refuse(agent, Answer(409, reason.encode()), reason, now)
-        case Hearing.FOREIGN:
+    match agent.receive_report(report, now):
+        case ReportOutcome.STALE:
+            reason = f"{report.incarnation} is not the life that runs here"
+            return _reject_call(agent, HTTPResponse(409, reason.encode()), reason, now)
+        case ReportOutcome.WRONG_SERVICE:
             reason = f"service {report.service} is not served here"
-            return _refuse(agent, Answer(409, reason.encode()), reason, now)
+            return _reject_call(agent, HTTPResponse(409, reason.encode()), reason, now)
         case _:
-            return Answer(200, b"{}", JSON)
+            return HTTPResponse(200, b"{}", JSON)
 
 
-def _refuse(agent: Agent, answer: Answer, reason: str, now: float) -> Answer:
+def _reject_call(
+    agent: Agent, response: HTTPResponse, reason: str, now: float
+) -> HTTPResponse:
     """Count a call that is not taken in, and log it while the log has room."""
     agent.counts["refused_reports"] += 1
-    if agent.complaints.take(1, now):
+    if agent.log_budget.take(1, now):
         log.warning("endpoint's call refused", extra={"reason": reason})
-    return answer
+    return response
 
 
 async def _stay_listed(agent: Agent, member: Member, store: PlatformStore) -> None:
     """List this agent, and again whenever its entry seems to be gone."""
     backoff = Backoff(random.Random())
     await list_member(store, member, backoff)
-    patience = UNHEARD_SECONDS
+    ping_timeout = PING_TIMEOUT_SECONDS
     while True:
-        await asyncio.sleep(LISTING_SECONDS)
-        if not _seems_unlisted(agent, patience):
+        await asyncio.sleep(LISTING_CHECK_SECONDS)
+        if not _may_be_unlisted(agent, ping_timeout):
             continue
-        heard_at = agent.pinged_at
+        last_ping_at = agent.last_ping_at
         await list_member(store, member, backoff)
-        agent.unlisted_at = None
-        is_unheard = agent.pinged_at == heard_at
-        patience = min(LONGEST_UNHEARD_SECONDS, patience * 2)
-        patience = patience if is_unheard else UNHEARD_SECONDS
-        agent.pinged_at = asyncio.get_running_loop().time()
+        agent.unlisted_since = None
+        was_not_pinged = agent.last_ping_at == last_ping_at
+        ping_timeout = min(MAX_PING_TIMEOUT_SECONDS, ping_timeout * 2)
+        ping_timeout = ping_timeout if was_not_pinged else PING_TIMEOUT_SECONDS
+        agent.last_ping_at = asyncio.get_running_loop().time()
 
 
-def _seems_unlisted(agent: Agent, patience: float) -> bool:
+def _may_be_unlisted(agent: Agent, ping_timeout: float) -> bool:
     now = asyncio.get_running_loop().time()
-    if agent.unlisted_at is not None and now - agent.unlisted_at > LISTING_SECONDS:
+    if (
+        agent.unlisted_since is not None
+        and now - agent.unlisted_since > LISTING_CHECK_SECONDS
+    ):
         return True
-    return now - max(agent.pinged_at, agent.started_at) > patience
+    return now - max(agent.last_ping_at, agent.started_at) > ping_timeout
 
 
 async def _watch_endpoint(agent: Agent) -> None:
@@ -199,59 +214,61 @@
     """
     now = asyncio.get_running_loop().time
     while True:
-        await asyncio.sleep(PROBE_SECONDS)
+        await asyncio.sleep(PROBE_INTERVAL_SECONDS)
         endpoint = agent.endpoint
         if endpoint.state == DOWN or not endpoint.is_overdue(now()):
             continue
-        log.info("report missing", extra={"life": str(endpoint.life)})
+        log.info("report missing", extra={"life": str(endpoint.incarnation)})
         match await _probe(agent.endpoint_address):
-            case Probe.REFUSED:
-                agent.endpoint_refuses()
-            case Probe.TAKEN:
+            case ProbeOutcome.REFUSED:
+                agent.mark_endpoint_down()
+            case ProbeOutcome.ACCEPTED:
                 endpoint.unanswered_probes = 0
                 await asyncio.sleep(endpoint.report_seconds)
-            case Probe.UNANSWERED:
+            case ProbeOutcome.UNANSWERED:
                 endpoint.unanswered_probes += 1
                 await asyncio.sleep(endpoint.report_seconds)
 
 
-async def _probe(address: tuple[str, int]) -> Probe:
+async def _probe(address: tuple[str, int]) -> ProbeOutcome:
     """Open a connection to the endpoint's address and close it again."""
     try:
         async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(*address)
     except ConnectionRefusedError:
-        return Probe.REFUSED
+        return ProbeOutcome.REFUSED
     except (OSError, TimeoutError) as error:
         log.info("endpoint not reached", extra={"reason": repr(error)})
-        return Probe.UNANSWERED
+        return ProbeOutcome.UNANSWERED
     writer.close()
-    return Probe.TAKEN
+    return ProbeOutcome.ACCEPTED
 
 
-async def _release(agent: Agent) -> None:
+async def _release_periodically(agent: Agent) -> None:
     """Let waiting requests go on when those at the endpoint are taken for lost."""
     now = asyncio.get_running_loop().time
     while True:
-        await asyncio.sleep(RELEASE_SECONDS)
-        release(agent, now())
+        await asyncio.sleep(RELEASE_INTERVAL_SECONDS)
+        release_requests(agent, now())
 
 
-async def _sweep(agent: Agent) -> None:
+async def _sweep_periodically(agent: Agent) -> None:
     now = asyncio.get_running_loop().time
     while True:
-        await asyncio.sleep(SWEEP_SECONDS)
+        await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
         agent.sweep(now())
 
 
-async def _leave(agent: Agent, store: PlatformStore) -> None:
+async def _stop(agent: Agent, store: PlatformStore) -> None:
     """Stop: tell balancers, and leave the listing if the endpoint has gone as well."""
     agent.stopping = True
     log.info("stopping", extra={"endpoint": agent.endpoint.state})
     for address in agent.balancers:
-        agent.daemons.send(bytes((GONE,)), (address, agent.settings.internal_port))
+        agent.daemon_socket.send(
+            bytes((GONE,)), (address, agent.settings.internal_port)
+        )
     if agent.endpoint.state == DOWN:
         removed = await store.remove_member(agent.settings.address)
         if removed.is_err():
             log.warning("still listed", extra={"reason": str(removed.unwrap_err())})
-    await asyncio.sleep(STOP_SECONDS)
+    await asyncio.sleep(STOP_DELAY_SECONDS)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
@@ -15,14 +15,14 @@
     follow_members,
     prune,
 )
-from cornelspan_passthrough.hello import greet
+from cornelspan_passthrough.hello import send_hellos
 from cornelspan_passthrough.http import http_server
 from cornelspan_passthrough.http_messages import (
     BINARY,
     NOT_FOUND,
-    Answer,
-    Call,
     Handler,
+    HTTPRequest,
+    HTTPResponse,
 )
 from cornelspan_passthrough.listing import list_member
 from cornelspan_passthrough.members import BALANCER, Member
@@ -35,7 +35,7 @@
     Backoff,
     OpenStore,
 )
-from cornelspan_passthrough.suspension import Suspensions
+from cornelspan_passthrough.suspension import SuspensionDetector
 
 # Searches wait 40 ms for a home; looking every 20 ms finds them late by half at most.
 TICK_SECONDS = 0.02
@@ -48,7 +48,7 @@
 # What is left of the time that a stop may take, for the process to end by itself.
 STOP_MARGIN_SECONDS = 1.0
 
-ReadyPath = Callable[[Call], bool]
+ReadyPath = Callable[[HTTPRequest], bool]
 
 log = get_log(__name__)
 
@@ -87,7 +87,7 @@
             tasks.start(catch_up(balancer, store, fetch_from_peer), name="catching up")
             tasks.start(_ping(balancer), name="pings")
             tasks.start(
-                greet(
+                send_hellos(
                     settings,
                     member,
                     balancer.daemons,
@@ -127,21 +127,23 @@
         serving.enter_context(http_server(address, handler))
 
 
-def _readiness(balancer: Balancer, call: Call, asks_readiness: ReadyPath) -> Answer:
+def _readiness(
+    balancer: Balancer, call: HTTPRequest, asks_readiness: ReadyPath
+) -> HTTPResponse:
     if not asks_readiness(call):
         return NOT_FOUND
-    return Answer(200 if balancer.is_ready() else 503)
+    return HTTPResponse(200 if balancer.is_ready() else 503)
 
 
-def _peer_call(balancer: Balancer, call: Call) -> Answer:
+def _peer_call(balancer: Balancer, call: HTTPRequest) -> HTTPResponse:
     if call.path != SNAPSHOT_PATH:
         return NOT_FOUND
-    return Answer(200, encode_snapshot(balancer), BINARY)
+    return HTTPResponse(200, encode_snapshot(balancer), BINARY)
 
 
 async def _ping(balancer: Balancer) -> None:
     """Ask all agents and tell all balancers, spread over the interval."""
-    suspensions = Suspensions()
+    suspensions = SuspensionDetector()
     loop_time = asyncio.get_running_loop().time
     while True:
         pulse = balancer.settings.pulse
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/searching.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/searching.py
@@ -6,7 +6,7 @@
 
 from cornelspan_common.logs import get_log
 from cornelspan_passthrough import messages
-from cornelspan_passthrough.packet_headers import RST, SYN, Head, flow_text
+from cornelspan_passthrough.packet_headers import RST, SYN, PacketHeader, flow_text
 from cornelspan_passthrough.searches import Search
 
 if TYPE_CHECKING:
@@ -15,7 +15,9 @@
 log = get_log(__name__)
 
 
-def find_owner(balancer: "Balancer", head: Head, data: bytes, now: float) -> None:
+def find_owner(
+    balancer: "Balancer", head: PacketHeader, data: bytes, now: float
+) -> None:
     """Begin a search for a packet's flow, or keep the packet for the one under way."""
     search = balancer.searches.get(head.flow)
     if search is not None:
@@ -62,7 +64,7 @@
 
 def _ask(balancer: "Balancer", flow: int, agents: Iterable[str]) -> None:
     for address in agents:
-        balancer.send(address, messages.encode_note(messages.ASK, flow))
+        balancer.send(address, messages.encode_flow_message(messages.ASK, flow))
 
 
 def ask_newcomer(balancer: "Balancer", address: str) -> None:
@@ -90,7 +92,9 @@
     """Have the homes record the owner that they did not know."""
     agent = int(IPv4Address(owner))
     for home in balancer.homes.of(flow):
-        balancer.send(home, messages.encode_note(messages.RECORD, flow, agent=agent))
+        balancer.send(
+            home, messages.encode_flow_message(messages.RECORD, flow, agent=agent)
+        )
 
 
 def owner_denied(
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/startup.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/startup.py
@@ -34,21 +34,21 @@
         sockets: The sockets to read from.
         tick: Called with the time, in seconds of the steady clock, about every 20 ms.
     """
-    worker = threading.Thread(target=lambda: _import(name), daemon=True)
-    worker.start()
+    import_thread = threading.Thread(target=lambda: _import_logged(name), daemon=True)
+    import_thread.start()
     poll = select.poll()
-    by_number = {each.socket.fileno(): each for each in sockets}
-    for number in by_number:
-        poll.register(number, select.POLLIN)
-    while worker.is_alive():
+    sockets_by_fd = {each.socket.fileno(): each for each in sockets}
+    for fd in sockets_by_fd:
+        poll.register(fd, select.POLLIN)
+    while import_thread.is_alive():
         ready = poll.poll(TICK_SECONDS * MILLISECONDS)
-        for number, _ in ready:
-            _guarded(by_number[number].read)
-        _guarded(lambda: tick(time.monotonic()))
+        for fd, _ in ready:
+            _run_logged(sockets_by_fd[fd].read)
+        _run_logged(lambda: tick(time.monotonic()))
     return importlib.import_module(name)
 
 
-def _import(name: str) -> None:
+def _import_logged(name: str) -> None:
     """Import a module; the caller's own import raises a failure again."""
     try:
         importlib.import_module(name)
@@ -56,9 +56,9 @@
         log.error("task failed: import of %s", name, exc_info=error)
 
 
-def _guarded(step: Callable[[], None]) -> None:
+def _run_logged(action: Callable[[], None]) -> None:
     """Do a step; log what it raises, as the event loop does later."""
     try:
-        step()
+        action()
     except Exception as error:
         log.error("task failed: early packets", exc_info=error)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/urgency.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/urgency.py
@@ -20,7 +20,7 @@
     waited_milliseconds: int = 0
 
 
-class Times(NamedTuple):
+class Deadlines(NamedTuple):
     """Until when an answer is on time, and when its caller gives up, in seconds."""
 
     target: float
@@ -29,10 +29,10 @@
 
 # A flow that opened before its agent was restarted: taken for one of the middle, so
 # that it neither pushes in nor starves.
-UNKNOWN = Urgency(1, 200, 2000)
+DEFAULT_URGENCY = Urgency(1, 200, 2000)
 
 
-def times(urgency: Urgency, now: float, *, is_first: bool) -> Times:
+def request_deadlines(urgency: Urgency, now: float, *, is_first: bool) -> Deadlines:
     """Return the times of a request that has come now.
 
     Args:
@@ -43,4 +43,4 @@
     waited = urgency.waited_milliseconds if is_first else 0
     target = now + (urgency.target_milliseconds - waited) / MILLISECONDS
     deadline = now + (urgency.budget_milliseconds - waited) / MILLISECONDS
-    return Times(target, deadline)
+    return Deadlines(target, deadline)
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment.py
@@ -125,7 +125,7 @@
         """Give an agent the plan's policy."""
         policy = self.plan.policy
         agent = self.world.agents[address]
-        agent.waiting.order = ORDERS[policy.order]
+        agent.request_queue.order = ORDERS[policy.order]
         has_line = policy.order != "none"
         agent.queued_requests = policy.queued_requests if has_line else NO_LINE
         if not policy.ejects:
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_ablations.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_ablations.py
@@ -26,7 +26,7 @@
     searching,
 )
 from cornelspan_passthrough.homes import Homes
-from cornelspan_passthrough.request_queue import WaitingLine
+from cornelspan_passthrough.request_queue import RequestQueue
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 def _forget(agent_: Any, flow: int, owned: Any, reason: str) -> None:
     """Forget a dead flow without a word to its client."""
     agent_.flows.remove(flow)
-    agent_.waiting.remove(flow)
+    agent_.request_queue.remove(flow)
 
 
 def _nothing(*_: Any, **__: Any) -> None:
@@ -59,19 +59,19 @@
     "holding": (Change(first_packets, "_knows_agents", lambda *_: True),),
     # Telling clients of dead flows.
     "dead-flows": (
-        Change(dead_flows, "end_dead_flow", _forget),
-        Change(agent, "end_dead_flow", _forget),
+        Change(dead_flows, "reset_dead_flow", _forget),
+        Change(agent, "reset_dead_flow", _forget),
         Change(searching, "end_if_dead", _nothing),
         Change(balancer, "end_if_dead", _nothing),
     ),
     # Agents that record owners of flows.
     "homes": (Change(Homes, "of", lambda self, flow: ()),),
     # Endpoints that may hold flows of before their agent's start.
-    "doubts": (Change(delivery, "_may_hold_unknown", lambda *_: False),),
+    "doubts": (Change(delivery, "_may_hold_unknown_flow", lambda *_: False),),
     # Requests that are taken for lost after a time.
     "lost-requests": (Change(flows, "LOST_REQUEST_SECONDS", math.inf),),
     # Dropping requests whose callers have given up.
-    "expiry": (Change(WaitingLine, "forget_expired", lambda self, now: []),),
+    "expiry": (Change(RequestQueue, "drop_expired", lambda self, now: []),),
     "idle-flows": (Change(placing, "IDLE_FLOW_WEIGHT", 0.0),),
     "paces": (Change(placing, "SLOW_RATIO", math.inf),),
 }
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_ideal.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_ideal.py
@@ -117,7 +117,7 @@
     def _wait(self, address: str) -> float:
         """Return how many rounds of its slots a new request would take there."""
         endpoint = self.world.endpoints[address]
-        waiting = len(self.world.agents[address].waiting)
+        waiting = len(self.world.agents[address].request_queue)
         now = self.world.now
         coming = [
             at for at in self.placed.get(address, []) if now - at < COMING_SECONDS
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_policies.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_policies.py
@@ -4,28 +4,32 @@
 from collections.abc import Iterable
 
 from cornelspan_passthrough.placing import Candidate, Choose, choose, takes_flows
-from cornelspan_passthrough.request_queue import Held, Order, on_time_first
+from cornelspan_passthrough.request_queue import (
+    QueuedRequest,
+    RequestOrder,
+    on_time_first,
+)
 
 # More than any endpoint's slots and queue: nothing waits at the agent then.
 NO_LINE = 1_000_000
 
 
-def by_due(held: Held, soonest: float) -> tuple[float, ...]:
+def by_due(held: QueuedRequest, soonest: float) -> tuple[float, ...]:
     """Order by priority, then by the target, or by the deadline when that is over."""
-    target, deadline = held.until
+    target, deadline = held.deadlines
     due = target if target >= soonest else deadline
     return deadline < soonest, held.priority, due, deadline
 
 
-def by_deadline(held: Held, soonest: float) -> tuple[float, ...]:
+def by_deadline(held: QueuedRequest, soonest: float) -> tuple[float, ...]:
     """Order by priority, then by when the caller gives up."""
-    deadline = held.until.deadline
+    deadline = held.deadlines.deadline
     return deadline < soonest, held.priority, deadline
 
 
-def by_age(held: Held, soonest: float) -> tuple[float, ...]:
+def by_age(held: QueuedRequest, soonest: float) -> tuple[float, ...]:
     """Order by arrival, whatever the request is."""
-    return (held.since,)
+    return (held.queued_at,)
 
 
 def choose_by_chance(
@@ -52,7 +56,7 @@
     return best[2].address if best else ""
 
 
-ORDERS: dict[str, Order] = {
+ORDERS: dict[str, RequestOrder] = {
     "on-time": on_time_first,
     "due": by_due,
     "deadline": by_deadline,
--- a/packages/cornelspan-standins/src/cornelspan_standins/packet_world.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/packet_world.py
@@ -21,8 +21,8 @@
 from cornelspan_passthrough.agent import Agent
 from cornelspan_passthrough.balancer import Balancer
 from cornelspan_passthrough.configuration import Configuration, Route, Share
-from cornelspan_passthrough.delivery import release
-from cornelspan_passthrough.endpoint import Life, Report
+from cornelspan_passthrough.delivery import release_requests
+from cornelspan_passthrough.endpoint import Incarnation, Report
 from cornelspan_passthrough.members import AGENT, BALANCER, Member
 from cornelspan_passthrough.packet_headers import route_number
 from cornelspan_passthrough.running_balancer import NEWCOMER_SECONDS
@@ -193,8 +193,10 @@
         daemons = WorldSocket(self, (address, INTERNAL_PORT))
         agent = Agent(settings, CODEC, local, daemons, self.now)
         self.agents[address] = agent
-        self.handlers[local.own] = lambda data, _: agent.from_endpoint(data, self.now)
-        self.handlers[daemons.own] = lambda data, sender: agent.from_daemon(
+        self.handlers[local.own] = lambda data, _: agent.receive_from_endpoint(
+            data, self.now
+        )
+        self.handlers[daemons.own] = lambda data, sender: agent.receive_from_daemon(
             data, sender, self.now
         )
         return agent
@@ -301,7 +303,7 @@
         for balancer in self._awake(self.balancers):
             balancer.tick(self.now)
         for agent in self._awake(self.agents):
-            release(agent, self.now)
+            release_requests(agent, self.now)
         self.after(TICK_SECONDS, self._tick)
 
     def _ping(self) -> None:
@@ -337,10 +339,10 @@
             self.sequences[address] = sequence
             draining = not endpoint.accepts
             capacity = min(endpoint.slots, self.report_capacity)
-            life = Life(f"i-{address}-{endpoint.life}")
+            life = Incarnation(f"i-{address}-{endpoint.life}")
             cold = max(0, round((endpoint.cold_until - self.now) * 1000))
             report = Report(life, endpoint.service, sequence, capacity, draining, cold)
-            agent.report(report, self.now)
+            agent.receive_report(report, self.now)
         self.after(REPORT_SECONDS, self._report)
 
 
--- a/tests/test_passthrough_dead_flows.py
+++ b/tests/test_passthrough_dead_flows.py
@@ -171,7 +171,7 @@
         endpoint.alive = address != crashed
     world.run(0.3)
     assert client.events == ["open", "answer"]
-    world.agents[crashed].endpoint_refuses()
+    world.agents[crashed].mark_endpoint_down()
     world.run(0.1)
     client.request()
     world.run(0.3)
@@ -241,7 +241,7 @@
         world.start_agent(address)
     gone = RECEIPTS[0]
     world.endpoints[gone].crash()
-    world.agents[gone].endpoint_refuses()
+    world.agents[gone].mark_endpoint_down()
     world.run(0.3)
     world.remove(gone)
     world.run(0.9)
--- a/tests/test_passthrough_early.py
+++ b/tests/test_passthrough_early.py
@@ -8,9 +8,9 @@
 import pytest
 
 from cornelspan_passthrough.datagrams import datagram_socket
-from cornelspan_passthrough.http import http_answers
-from cornelspan_passthrough.http_messages import Answer
-from cornelspan_passthrough.listeners import listening
+from cornelspan_passthrough.http import serve_listener
+from cornelspan_passthrough.http_messages import HTTPResponse
+from cornelspan_passthrough.listeners import listening_socket
 from cornelspan_passthrough.startup import import_while_serving
 
 WAIT = """
@@ -51,7 +51,7 @@
                 may_go_on.set()
             received(data)
 
-        opened.received = take
+        opened.on_datagram = take
         for packet in packets:
             send(address, packet)
         module = import_while_serving(name, [opened], lambda now: None)
@@ -107,11 +107,13 @@
     later, and its slots would be unknown until then.
     """
     address = ("127.0.0.1", base_port)
-    with listening(address) as listener:
+    with listening_socket(address) as listener:
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"GET /report HTTP/1.1\r\nHost: agent\r\n\r\n")
         await writer.drain()
-        with http_answers(listener, lambda call: Answer(200, call.path.encode())):
+        with serve_listener(
+            listener, lambda call: HTTPResponse(200, call.path.encode())
+        ):
             async with asyncio.timeout(20):
                 answer = await reader.readuntil(b"/report")
         writer.close()
--- a/tests/test_passthrough_judging.py
+++ b/tests/test_passthrough_judging.py
@@ -56,7 +56,9 @@
     """
     world.endpoints[AGENTS[0]].mute = 1_000_000
     crowd(world, 1.0)
-    assert world.agents[AGENTS[0]].judgement.standing(world.now) is not Standing.IN
+    assert (
+        world.agents[AGENTS[0]].outlier_detector.standing(world.now) is not Standing.IN
+    )
     taken = world.endpoints[AGENTS[0]].opened
     clients = crowd(world, 2.0)
     assert world.endpoints[AGENTS[0]].opened - taken <= 4
@@ -70,7 +72,7 @@
     crowd(world, 1.0)
     endpoint.resets = False
     crowd(world, 3.0)
-    assert world.agents[AGENTS[0]].judgement.standing(world.now) is Standing.IN
+    assert world.agents[AGENTS[0]].outlier_detector.standing(world.now) is Standing.IN
     opened = endpoint.opened
     assert failed(crowd(world, 1.0)) == []
     assert endpoint.opened > opened
@@ -82,7 +84,7 @@
     endpoint.resets = True
     crowd(world, 1.0)
     agent = world.agents[AGENTS[0]]
-    world.run(max(0.0, agent.judgement.ejected_until - world.now))
+    world.run(max(0.0, agent.outlier_detector.ejected_until - world.now))
     clients = [world.open_flow(over=BALANCERS[0]) for _ in range(6)]
     world.run(0.3)
     assert len(failed(clients)) <= 1
@@ -96,7 +98,7 @@
     endpoint.crash()
     endpoint.start(cold_until=0.0)
     world.run(1.0)
-    assert world.agents[AGENTS[0]].judgement.standing(world.now) is Standing.IN
+    assert world.agents[AGENTS[0]].outlier_detector.standing(world.now) is Standing.IN
 
 
 def candidates(ejected, count=6):
--- a/tests/test_passthrough_lives.py
+++ b/tests/test_passthrough_lives.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from cornelspan_passthrough.http_messages import Call
-from cornelspan_passthrough.running_agent import answer
+from cornelspan_passthrough.http_messages import HTTPRequest
+from cornelspan_passthrough.running_agent import answer_call
 from cornelspan_shirakaba.calls import HEARTBEAT, LEAVE, read_call
 from passthrough_world import BALANCERS, ORDERS, owner_of, small_world
 
@@ -32,8 +32,8 @@
         "sequence": sequence,
         "born": born,
     } | more
-    call = Call("POST", f"{HEARTBEAT}{name}", msgspec.json.encode(body))
-    return answer(world.agents[address], read_call(call), world.now).status
+    call = HTTPRequest("POST", f"{HEARTBEAT}{name}", msgspec.json.encode(body))
+    return answer_call(world.agents[address], read_call(call), world.now).status
 
 
 def flow_at(world):
@@ -119,8 +119,8 @@
     client, owner = flow_at(world)
     says(world, owner, born=AFTER + 900, sequence=3)
     for body in (b"", msgspec.json.encode({"born": AFTER})):
-        call = Call("POST", f"{LEAVE}i-1", body)
-        answer(world.agents[owner], read_call(call), world.now)
+        call = HTTPRequest("POST", f"{LEAVE}i-1", body)
+        answer_call(world.agents[owner], read_call(call), world.now)
     world.run(0.1)
     client.request()
     world.run(0.3)
--- a/tests/test_passthrough_placing.py
+++ b/tests/test_passthrough_placing.py
@@ -3,7 +3,7 @@
 import random
 
 from cornelspan_passthrough.flows import FlowTable
-from cornelspan_passthrough.packet_headers import ACK, Head
+from cornelspan_passthrough.packet_headers import ACK, PacketHeader
 from cornelspan_passthrough.placing import Candidate, choose
 from cornelspan_passthrough.pulses import DOWN, DRAINING, READY, Pong, Pulse
 from cornelspan_standins.packet_world import PacketWorld
@@ -59,7 +59,7 @@
 def request(flows, number, at):
     """Have a flow send a request at a time."""
     owned = flows.start(number, "", (0, 0), at)
-    flows.sent(number, owned, Head(number, ACK, 1, 0, 10), at)
+    flows.record_sent(number, owned, PacketHeader(number, ACK, 1, 0, 10), at)
     return owned
 
 
@@ -67,21 +67,21 @@
     flows = FlowTable(flow_seconds=60)
     for number in range(30):
         owned = request(flows, number, 10 + number * 0.1)
-        flows.answered(number, owned, 10, 10 + number * 0.1 + 0.05)
-    usual = flows.pace_now(13.0)
+        flows.record_response(number, owned, 10, 10 + number * 0.1 + 0.05)
+    usual = flows.response_seconds_now(13.0)
     assert 0.04 < usual < 0.06
     request(flows, 99, 13.0)
-    assert flows.pace_now(13.1) == usual
-    assert flows.pace_now(13.9) > 4 * usual
+    assert flows.response_seconds_now(13.1) == usual
+    assert flows.response_seconds_now(13.9) > 4 * usual
 
 
 def test_an_agent_forgets_the_pace_of_an_endpoint_that_has_had_nothing_to_do():
     """An endpoint that was slow once is tried again though no request told better."""
     flows = FlowTable(flow_seconds=60)
     owned = request(flows, 1, 10.0)
-    flows.answered(1, owned, 10, 10.4)
-    assert flows.pace_now(11.0) > 0
-    assert flows.pace_now(13.0) == 0
+    flows.record_response(1, owned, 10, 10.4)
+    assert flows.response_seconds_now(11.0) > 0
+    assert flows.response_seconds_now(13.0) == 0
 
 
 def test_who_leaves_or_is_down_takes_nothing():
@@ -151,7 +151,8 @@
     for _ in range(round(seconds * 1000)):
         world.run(0.001)
         loads = [
-            agent.flows.running + len(agent.waiting) for agent in world.agents.values()
+            agent.flows.running + len(agent.request_queue)
+            for agent in world.agents.values()
         ]
         most = max(most, *loads)
     return most
@@ -191,8 +192,8 @@
     table = FlowTable(flow_seconds=60.0)
     for number in range(3):
         owned = table.start(number, "", (0, 0), 0.0)
-        table.sent(number, owned, Head(number, ACK, 100, 0, 10), 0.0)
-        table.answered(number, owned, 10, 0.1)
+        table.record_sent(number, owned, PacketHeader(number, ACK, 100, 0, 10), 0.0)
+        table.record_response(number, owned, 10, 0.1)
     assert table.open_flows == 3
     table.end(0, table.get(0))
     table.end(0, table.get(0))
--- a/tests/test_passthrough_waiting.py
+++ b/tests/test_passthrough_waiting.py
@@ -1,33 +1,37 @@
 """The line of requests before a full endpoint."""
 
 from cornelspan_passthrough.flows import FlowTable
-from cornelspan_passthrough.packet_headers import ACK, Head
-from cornelspan_passthrough.request_queue import LIMIT, Held, WaitingLine
-from cornelspan_passthrough.urgency import Times, Urgency, times
+from cornelspan_passthrough.packet_headers import ACK, PacketHeader
+from cornelspan_passthrough.request_queue import (
+    MAX_REQUESTS,
+    QueuedRequest,
+    RequestQueue,
+)
+from cornelspan_passthrough.urgency import Deadlines, Urgency, request_deadlines
 from cornelspan_standins.packet_world import PacketWorld
 
 BALANCER = "10.1.0.10"
 AGENT = "10.1.0.11"
 
 
-def held(priority, deadline, target=8.0):
-    return Held(priority, Times(target, deadline), since=0.0)
+def queued(priority, deadline, target=8.0):
+    return QueuedRequest(priority, Deadlines(target, deadline), queued_at=0.0)
 
 
 def test_the_highest_priority_goes_first_then_the_least_time_left():
-    line = WaitingLine()
-    line.hold(1, held(2, 10.0), b"a", 1)
-    line.hold(2, held(1, 12.0), b"b", 1)
-    line.hold(3, held(1, 11.0), b"c", 1)
-    assert [line.take(0.0, 0.1)[0] for _ in range(3)] == [3, 2, 1]
-    assert line.take(0.0, 0.1) is None
+    queue = RequestQueue()
+    queue.push(1, queued(2, 10.0), b"a", 1)
+    queue.push(2, queued(1, 12.0), b"b", 1)
+    queue.push(3, queued(1, 11.0), b"c", 1)
+    assert [queue.pop(0.0, 0.1)[0] for _ in range(3)] == [3, 2, 1]
+    assert queue.pop(0.0, 0.1) is None
 
 
 def test_what_cannot_be_done_in_time_goes_last():
-    line = WaitingLine()
-    line.hold(1, held(0, 1.05), b"a", 1)
-    line.hold(2, held(1, 5.0), b"b", 1)
-    assert [line.take(1.0, 0.1)[0] for _ in range(2)] == [2, 1]
+    queue = RequestQueue()
+    queue.push(1, queued(0, 1.05), b"a", 1)
+    queue.push(2, queued(1, 5.0), b"b", 1)
+    assert [queue.pop(1.0, 0.1)[0] for _ in range(2)] == [2, 1]
 
 
 def test_what_is_late_already_lets_those_pass_that_are_not():
@@ -36,50 +40,50 @@
     Two requests of the outage's backlog are late whatever happens. By age they would
     go first, and the two that have just come would be late as well.
     """
-    line = WaitingLine()
-    line.hold(1, held(2, 2.0, target=0.9), b"a", 1)
-    line.hold(2, held(2, 2.1, target=0.9), b"b", 1)
-    line.hold(3, held(2, 2.6, target=1.2), b"c", 1)
-    line.hold(4, held(2, 2.5, target=1.2), b"d", 1)
-    assert [line.take(1.0, 0.04)[0] for _ in range(4)] == [4, 3, 1, 2]
+    queue = RequestQueue()
+    queue.push(1, queued(2, 2.0, target=0.9), b"a", 1)
+    queue.push(2, queued(2, 2.1, target=0.9), b"b", 1)
+    queue.push(3, queued(2, 2.6, target=1.2), b"c", 1)
+    queue.push(4, queued(2, 2.5, target=1.2), b"d", 1)
+    assert [queue.pop(1.0, 0.04)[0] for _ in range(4)] == [4, 3, 1, 2]
 
 
 def test_what_a_client_waited_for_its_flow_counts_for_the_first_request_only():
     urgency = Urgency(1, 200, 2000, waited_milliseconds=600)
-    assert times(urgency, 10.0, is_first=True) == Times(9.6, 11.4)
-    assert times(urgency, 10.0, is_first=False) == Times(10.2, 12.0)
+    assert request_deadlines(urgency, 10.0, is_first=True) == Deadlines(9.6, 11.4)
+    assert request_deadlines(urgency, 10.0, is_first=False) == Deadlines(10.2, 12.0)
 
 
 def test_a_late_order_still_goes_before_what_is_worth_less():
-    line = WaitingLine()
-    line.hold(1, held(2, 3.0, target=1.2), b"a", 1)
-    line.hold(2, held(1, 2.0, target=0.5), b"b", 1)
-    assert [line.take(1.0, 0.04)[0] for _ in range(2)] == [2, 1]
+    queue = RequestQueue()
+    queue.push(1, queued(2, 3.0, target=1.2), b"a", 1)
+    queue.push(2, queued(1, 2.0, target=0.5), b"b", 1)
+    assert [queue.pop(1.0, 0.04)[0] for _ in range(2)] == [2, 1]
 
 
 def test_a_request_whose_caller_gave_up_is_never_run():
-    line = WaitingLine()
-    line.hold(1, held(0, 1.0), b"a", 1)
-    assert line.forget_expired(1.5) == [1]
-    assert line.take(1.5, 0.1) is None
-    assert line.expired == 1
+    queue = RequestQueue()
+    queue.push(1, queued(0, 1.0), b"a", 1)
+    assert queue.drop_expired(1.5) == [1]
+    assert queue.pop(1.5, 0.1) is None
+    assert queue.expired == 1
 
 
 def test_repeats_take_no_room():
-    line = WaitingLine()
-    line.hold(1, held(0, 9.0), b"a", 100)
-    line.add(1, b"a", 100)
-    line.add(1, b"b", 200)
-    _, request = line.take(0.0, 0.1)
+    queue = RequestQueue()
+    queue.push(1, queued(0, 9.0), b"a", 100)
+    queue.add_packet(1, b"a", 100)
+    queue.add_packet(1, b"b", 200)
+    _, request = queue.pop(0.0, 0.1)
     assert list(request.packets.values()) == [b"a", b"b"]
-    assert line.repeats == 1
+    assert queue.repeats == 1
 
 
 def test_the_line_is_bounded():
-    line = WaitingLine()
-    for flow in range(LIMIT + 5):
-        line.hold(flow, held(0, 9.0), b"a", 1)
-    assert len(line) == LIMIT
+    queue = RequestQueue()
+    for flow in range(MAX_REQUESTS + 5):
+        queue.push(flow, queued(0, 9.0), b"a", 1)
+    assert len(queue) == MAX_REQUESTS
 
 
 def test_a_crowd_is_served_without_being_shed():
@@ -141,7 +145,7 @@
 
 
 def packet(sequence, length=10):
-    return Head(1, ACK, sequence, 0, length)
+    return PacketHeader(1, ACK, sequence, 0, length)
 
 
 def test_a_request_that_the_endpoint_has_had_before_fills_no_slot():
@@ -153,11 +157,11 @@
     table = FlowTable(flow_seconds=60.0)
     owned = table.start(1, "", (0, 0), 0.0)
     owned.is_learned = True
-    table.sent(1, owned, packet(100), 1.0)
+    table.record_sent(1, owned, packet(100), 1.0)
     assert table.running == 1
-    table.answered(1, owned, 0, 1.001)
+    table.record_response(1, owned, 0, 1.001)
     assert table.running == 0
-    assert table.pace_seconds == 0.0
+    assert table.response_seconds == 0.0
 
 
 def test_an_acknowledged_request_still_runs():
@@ -169,21 +173,21 @@
     """
     table = FlowTable(flow_seconds=60.0)
     owned = table.start(1, "", (0, 0), 0.0)
-    table.sent(1, owned, packet(100), 1.0)
-    table.answered(1, owned, 0, 1.001)
+    table.record_sent(1, owned, packet(100), 1.0)
+    table.record_response(1, owned, 0, 1.001)
     assert table.running == 1
-    table.answered(1, owned, 50, 1.04)
+    table.record_response(1, owned, 50, 1.04)
     assert table.running == 0
 
 
 def test_a_repeat_of_an_answered_request_is_no_work():
     table = FlowTable(flow_seconds=60.0)
     owned = table.start(1, "", (0, 0), 0.0)
-    table.sent(1, owned, packet(0xFFFFFFFA), 1.0)
-    table.answered(1, owned, 50, 1.04)
-    table.sent(1, owned, packet(0xFFFFFFFA), 1.2)
+    table.record_sent(1, owned, packet(0xFFFFFFFA), 1.0)
+    table.record_response(1, owned, 50, 1.04)
+    table.record_sent(1, owned, packet(0xFFFFFFFA), 1.2)
     assert table.running == 0
-    table.sent(1, owned, packet(4), 1.3)
+    table.record_sent(1, owned, packet(4), 1.3)
     assert table.running == 1
 
 
@@ -196,7 +200,7 @@
     table = FlowTable(flow_seconds=60.0)
     owned = table.start(1, "", (0, 0), 0.0)
     owned.is_learned = True
-    table.answered(1, owned, 50, 0.9)
-    table.sent(1, owned, packet(100), 1.0)
-    table.answered(1, owned, 0, 1.001)
+    table.record_response(1, owned, 50, 0.9)
+    table.record_sent(1, owned, packet(100), 1.0)
+    table.record_response(1, owned, 0, 1.001)
     assert table.running == 0
--- a/tests/test_shirakaba_records.py
+++ b/tests/test_shirakaba_records.py
@@ -5,10 +5,10 @@
 from hypothesis import given, strategies as st
 from result import Err, Ok
 
-from cornelspan_passthrough.endpoint import Life
-from cornelspan_passthrough.http_messages import Call
+from cornelspan_passthrough.endpoint import Incarnation
+from cornelspan_passthrough.http_messages import HTTPRequest
 from cornelspan_passthrough.members import Member, Members
-from cornelspan_passthrough.running_agent import Left, Refused
+from cornelspan_passthrough.running_agent import InvalidCall, LeaveCall
 from cornelspan_shirakaba.calls import HEARTBEAT, LEAVE, read_call
 from cornelspan_shirakaba.packets import CODEC
 from cornelspan_shirakaba.records import (
@@ -59,10 +59,10 @@
 
 def test_a_report_names_its_life():
     found = decode_report("i-1", msgspec.json.encode(REPORT)).unwrap()
-    assert found.life == Life("i-1", 1_780_000_000_000)
+    assert found.incarnation == Incarnation("i-1", 1_780_000_000_000)
     without = {name: value for name, value in REPORT.items() if name != "born"}
     found = decode_report("i-1", msgspec.json.encode(without)).unwrap()
-    assert found.life == Life("i-1")
+    assert found.incarnation == Incarnation("i-1")
 
 
 @pytest.mark.parametrize(
@@ -93,8 +93,8 @@
     would change where flows go.
     """
     body = msgspec.json.encode(REPORT | {field: value})
-    call = read_call(Call("POST", f"{HEARTBEAT}i-1", body))
-    assert isinstance(call, Refused)
+    call = read_call(HTTPRequest("POST", f"{HEARTBEAT}i-1", body))
+    assert isinstance(call, InvalidCall)
     assert call.reason
 
 
@@ -105,11 +105,17 @@
 
 
 def test_a_word_to_go_names_its_life():
-    assert read_call(Call("POST", f"{LEAVE}i-1", b"")) == Left(Life("i-1"))
-    assert read_call(Call("POST", f"{LEAVE}i-1", b"{}")) == Left(Life("i-1"))
+    assert read_call(HTTPRequest("POST", f"{LEAVE}i-1", b"")) == LeaveCall(
+        Incarnation("i-1")
+    )
+    assert read_call(HTTPRequest("POST", f"{LEAVE}i-1", b"{}")) == LeaveCall(
+        Incarnation("i-1")
+    )
     body = msgspec.json.encode({"born": 7})
-    assert read_call(Call("POST", f"{LEAVE}i-1", body)) == Left(Life("i-1", 7))
-    assert isinstance(read_call(Call("POST", f"{LEAVE}i-1", b"[")), Refused)
+    assert read_call(HTTPRequest("POST", f"{LEAVE}i-1", body)) == LeaveCall(
+        Incarnation("i-1", 7)
+    )
+    assert isinstance(read_call(HTTPRequest("POST", f"{LEAVE}i-1", b"[")), InvalidCall)
 
 
 @given(st.sampled_from(sorted(REPORT)), odd_values)
