--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
@@ -1,7 +1,8 @@
-"""The pass-through agent: hands packets to its endpoint and the endpoint's to clients.
+"""The pass-through agent: forwards packets between its endpoint and clients.
 
-It decides only whether its endpoint takes a new flow, and says so when it doesn't hold
-a flow. Beside that it records the owners of the flows that it is home of.
+The agent only decides whether its endpoint accepts a new flow, and tells balancers when
+the endpoint does not hold a flow. In addition it records the owners of those flows for
+which it is a home, see ``homes``.
 """
 
 import socket
@@ -56,18 +57,20 @@
 from cornelspan_passthrough.urgency import MILLISECONDS
 
 NO_HOMES = (messages.NO_ADDRESS, messages.NO_ADDRESS)
-# A question waits this long for the endpoint's word, which comes within a round trip.
+# How long the agent waits for the endpoint's reaction to a packet of an unknown flow.
+# The reaction takes a round trip.
 UNCONFIRMED_SECONDS = 2.0
-# Flows are recorded a quarter longer than they may be open, so that no record ends
-# before its flow does.
+# Flows are kept a quarter longer than they may be open, so that no record expires
+# before its flow ends.
 RETENTION_FACTOR = 1.25
-# Requests at the endpoint beyond those it works on. With one, a slot that becomes free
-# is filled at once; each further one would wait where no priority counts.
+# Requests at the endpoint beyond its slots. With one, a slot that becomes free is
+# filled at once. Any more would wait in the endpoint's queue, which ignores priorities.
 DEFAULT_QUEUED_REQUESTS = 1
-# Work for this many times its slots is what an endpoint may have before new flows are
-# sent on: a second round beside the one that runs.
+# An endpoint rejects new flows once it has this many times its slots of work: one round
+# of requests running and another waiting.
 BUSY_FACTOR = 2
 # A flow's first request follows its first packet after a round trip to the client.
+# Flows that started within this time count as work.
 FIRST_REQUEST_SECONDS = 0.02
 
 log = get_log(__name__)
@@ -75,13 +78,16 @@
 
 @dataclass
 class Agent:
-    """State and decisions of one agent; its sockets are set when it runs.
-
-    ``started_at`` is the loop's time of the start: flows that opened earlier are
-    unknown here while the endpoint may hold them. ``unconfirmed_packets`` holds each flow in doubt,
-    ``balancers`` those that have pinged. ``queued_requests`` may be at the endpoint
-    beyond those it works on. ``report_listener`` takes the endpoint's calls;
-    it listens from the start, though they are answered later.
+    """State and decisions of one agent.
+
+    ``started_at`` is when the agent started; flows that opened earlier are unknown
+    here, though the endpoint may hold them. ``unconfirmed_packets`` has the latest
+    packet of each unknown flow that was sent to the endpoint. ``balancers`` are those
+    that have sent pings, the last one at ``last_ping_at``. ``unlisted_since`` is when
+    pings began to say that the agent is missing from the listing, None if it is listed.
+    ``queued_requests`` may be at the endpoint beyond its slots. ``report_listener``
+    accepts the endpoint's connections from the start, though its calls are answered
+    later. Times are of the event loop's clock, in seconds.
     """
 
     settings: PassthroughAgentSettings
@@ -102,7 +108,7 @@
         settings = self.settings
         retention_seconds = settings.flow_seconds * RETENTION_FACTOR
         self.flows = FlowTable(retention_seconds)
-        self.directory: Expiring[int] = Expiring(idle_seconds=retention_seconds)
+        self.owner_records: Expiring[int] = Expiring(idle_seconds=retention_seconds)
         self.request_queue = RequestQueue()
         self.outlier_detector = Judgement()
         self.log_budget = complaint_bucket()
@@ -117,22 +123,22 @@
 
     @property
     def sockets(self) -> tuple[DatagramSocket, ...]:
-        """The sockets that it reads."""
+        """The sockets that the agent reads."""
         return self.packet_socket, self.daemon_socket
 
     def take_settings(self, settings: PassthroughAgentSettings) -> None:
-        """Take in settings that have changed."""
+        """Apply changed settings."""
         self.settings = settings
         retention_seconds = settings.flow_seconds * RETENTION_FACTOR
         self.flows.flow_seconds = retention_seconds
-        self.directory.idle_seconds = retention_seconds
+        self.owner_records.idle_seconds = retention_seconds
         self.endpoint.report_seconds = settings.report_milliseconds / 1000
         set_level(settings.log)
 
-    # Datagrams of daemons
+    # Datagrams from other daemons
 
     def receive_from_daemon(self, data: bytes, sender: str, now: float) -> None:
-        """Take a datagram of another daemon."""
+        """Process a datagram of another daemon."""
         kind = data[0] if data else 0
         if kind in (messages.DELIVER, messages.TRY):
             forward_packet(self, data[1:], kind, sender, now)
@@ -154,7 +160,7 @@
         elif kind == messages.RECORD:
             message = messages.decode_flow_message(data)
             if message is not None:
-                self.directory.put(message.flow, message.agent, now)
+                self.owner_records.put(message.flow, message.agent, now)
         elif kind == messages.PING:
             self._receive_ping(data, sender, now)
         else:
@@ -163,14 +169,14 @@
     def _receive_open(
         self, open_message: messages.OpenMessage, balancer: str, now: float
     ) -> None:
-        """Offer a first packet to the endpoint, or hand it back at once."""
+        """Offer a first packet to the endpoint, or reject it at once."""
         header = self.codec.read_client(open_message.packet)
         if header is None:
             self.counts["broken_packets"] += 1
             return
         existing = self.flows.get(header.flow)
         if existing is not None and not existing.ended:
-            # A repeat: the endpoint has the flow and answers as it did before.
+            # A retransmission: the endpoint holds the flow and repeats its answer.
             existing.balancer = balancer
             self.send_to_endpoint(open_message.packet, messages.OPEN)
             return
@@ -184,7 +190,7 @@
         self.send_to_endpoint(open_message.packet, messages.OPEN)
 
     def _rejection_reason(self, open_message: messages.OpenMessage, now: float) -> int:
-        """Return why the endpoint takes no new flow now; 0 if it does."""
+        """Return why the endpoint accepts no new flow now, 0 if it does accept."""
         if open_message.service_tag != self.service_tag:
             return messages.WRONG_SERVICE
         if self.endpoint.state == DRAINING:
@@ -202,10 +208,11 @@
         )
 
     def _is_busy(self, now: float) -> bool:
-        """Whether new flows should rather go elsewhere.
+        """Whether new flows should go to other endpoints.
 
-        Balancers know the load of some hundred milliseconds ago. In a crowd each of
-        them sends its share to the same idle endpoint before any hears of the others.
+        Balancers know a load that is some hundred milliseconds old. In a burst, each of
+        them sends its share to the same idle endpoint before it learns of the others'
+        flows.
         """
         expected = self.flows.started_since(now - FIRST_REQUEST_SECONDS)
         busy = self.flows.running + len(self.request_queue) + expected
@@ -213,7 +220,7 @@
 
     def _reject(self, flow: int, reason: int, packet: bytes, balancer: str) -> None:
         log.info(
-            "flow handed back",
+            "new flow rejected",
             extra={
                 "flow": flow_text(flow),
                 "reason": messages.REJECTION_REASONS[reason],
@@ -263,10 +270,10 @@
         )
         return bytes((messages.PONG,)) + msgspec.msgpack.encode(pong)
 
-    # Packets of the endpoint
+    # Packets from the endpoint
 
     def receive_from_endpoint(self, data: bytes, now: float) -> None:
-        """Take a packet that the endpoint has sent."""
+        """Process a packet that the endpoint has sent."""
         header = self.codec.read_endpoint(data)
         if header is None:
             self.counts["broken_packets"] += 1
@@ -290,7 +297,7 @@
         release_requests(self, now)
 
     def _learn_flow(self, header: PacketHeader, now: float) -> OwnedFlow:
-        """Take in a flow that opened before this process started."""
+        """Add a flow that opened before this process started."""
         balancer = self.unconfirmed_packets.pop(
             header.flow, NO_UNCONFIRMED_PACKET
         ).balancer
@@ -302,7 +309,7 @@
         return owned
 
     def _announce_accepted(self, flow: int, owned: OwnedFlow) -> None:
-        """Tell the balancer and the homes that the endpoint has taken a flow."""
+        """Tell the balancer and the homes that the endpoint has accepted a flow."""
         if owned.accepted:
             return
         owned.accepted = True
@@ -317,7 +324,7 @@
                 self.send(address_text(home), message)
 
     def _receive_bounced(self, header: PacketHeader, data: bytes, now: float) -> None:
-        """Take back a packet that the endpoint can't take."""
+        """Process a packet that the endpoint sent back because it can't accept it."""
         packet = self.codec.marked(data, 0)
         if header.flags & SYN:
             owned = self.flows.remove(header.flow)
@@ -328,29 +335,30 @@
             return
         owned = self.flows.get(header.flow)
         if owned is not None and owned.established:
-            # It opened here and nowhere else, and the endpoint no longer holds it.
-            reset_dead_flow(self, header.flow, owned, "endpoint forgot it")
+            # The flow is open at this endpoint only, and the endpoint no longer holds
+            # it.
+            reset_dead_flow(self, header.flow, owned, "endpoint no longer holds it")
             return
         balancer, is_try, _ = self.unconfirmed_packets.pop(
             header.flow, NO_UNCONFIRMED_PACKET
         )
         if owned is not None:
-            # The endpoint had answered a first packet whose client took up another's
-            # answer.
+            # The endpoint had answered a first packet, but the client took up the
+            # answer of another endpoint.
             balancer = owned.balancer
             self.flows.remove(header.flow)
         if balancer:
             send_not_here(self, header.flow, balancer, b"" if is_try else packet)
 
-    # The endpoint's reports
+    # Calls of the endpoint
 
     def receive_report(self, report: Report, now: float) -> ReportOutcome:
-        """Take in a report of the endpoint; return what it was taken for."""
+        """Process a report of the endpoint; return how it was classified."""
         before = (self.endpoint.incarnation, self.endpoint.announced_state)
         last_report_at = self.endpoint.reported_at
         outcome = self.endpoint.receive_report(report, now)
         if (self.endpoint.incarnation, self.endpoint.announced_state) != before:
-            log_endpoint(self, "endpoint reported")
+            log_endpoint(self, "endpoint state changed")
             self.send_pongs(now)
         if outcome is ReportOutcome.NEW_INCARNATION:
             self.outlier_detector = Judgement()
@@ -358,37 +366,37 @@
         return outcome
 
     def send_pongs(self, now: float) -> None:
-        """Tell the balancers of a change without being asked.
+        """Send the agent's state to all balancers without waiting for their pings.
 
-        Their next ping may be a few hundred milliseconds away: so long would a new
-        endpoint get no flow, and one that leaves get some that it hands back.
+        The next ping may be a few hundred milliseconds away. Until then a new endpoint
+        would get no flows, and a draining one would get flows that it rejects.
         """
         for balancer in self.balancers:
             self.send(balancer, self._encode_pong(now))
 
     def leave(self, incarnation: Incarnation) -> None:
-        """Take in that the endpoint has gone."""
+        """Process the endpoint's call that an incarnation ends."""
         if self.endpoint.leave(incarnation):
             log_endpoint(self, "endpoint left")
             reset_flows(self, "endpoint left")
 
     def mark_endpoint_down(self) -> None:
-        """Take in that nothing listens at the endpoint's address any more."""
+        """Record that nothing listens at the endpoint's address any more."""
         self.endpoint.mark_down()
         log_endpoint(self, "endpoint down")
         reset_flows(self, "endpoint down")
 
     def sweep(self, now: float) -> None:
-        """Forget what is too old."""
+        """Remove expired flows, owner records and unconfirmed packets."""
         self.flows.sweep(now)
-        self.directory.expire(now)
+        self.owner_records.expire(now)
         for flow in list(self.unconfirmed_packets):
             if now - self.unconfirmed_packets[flow].forwarded_at <= UNCONFIRMED_SECONDS:
                 return
             del self.unconfirmed_packets[flow]
 
     def send_to_endpoint(self, packet: bytes, mark: int) -> None:
-        """Hand a packet to the endpoint, under a mark."""
+        """Send a packet to the endpoint, with a mark in its header."""
         self.packet_socket.send(self.codec.marked(packet, mark), self.endpoint_address)
 
     def send(self, address: str, data: bytes) -> None:
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent_sockets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent_sockets.py
@@ -1,4 +1,4 @@
-"""Opens the sockets of an agent; apart, as the decisions need none."""
+"""Opens an agent's sockets, separately from its decisions, which need no sockets."""
 
 import time
 from collections.abc import Iterator
@@ -17,12 +17,12 @@
 ) -> Iterator[Agent]:
     """Yield an agent whose sockets are open until the context ends.
 
-    Times are those of the steady clock, which is the event loop's as well.
+    Times are of the monotonic clock, which the event loop uses too.
 
-    The endpoint reports as soon as it has started, which may be before this process can
-    answer. Its connection refused, it tries again up to 0.8 s later, and until then its
-    slots are unknown and some of them unused; taken up by the socket, the report waits
-    for its answer.
+    The endpoint reports as soon as it has started, perhaps before this process can
+    answer. If its connection were refused, it would retry up to 0.8 s later. Until then
+    its slots would be unknown and partly unused. The listening socket accepts the
+    connection, so the report waits there for its answer.
     """
     now = time.monotonic
     internal = (settings.address, settings.internal_port)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/datagrams.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/datagrams.py
@@ -1,4 +1,4 @@
-"""UDP sockets, read from by whoever polls them; see ``reading`` for the event loop."""
+"""UDP sockets, independent of what polls them; see ``reading`` for the event loop."""
 
 import socket
 from collections.abc import Callable, Iterator
@@ -6,11 +6,12 @@
 
 from cornelspan_common.logs import get_log
 
-# Room for about a quarter of a second of packets of 1.2 kB at 100 Mbit/s.
+# Holds about a quarter of a second of 1.2 kB packets at 100 Mbit/s.
 RECEIVE_BUFFER_BYTES = 4 * 1024 * 1024
-# More than the largest datagram of the system: a head, 1,200 bytes and our own head.
+# More than the largest datagram: the packet's header, 1,200 bytes of data and the
+# message header.
 MAX_DATAGRAM_BYTES = 65_536
-# Datagrams read in one turn; then timers and other sockets have theirs.
+# Datagrams read in one turn, before timers and other sockets get theirs.
 MAX_READS_PER_TURN = 64
 
 DatagramHandler = Callable[[bytes, tuple[str, int]], None]
@@ -19,10 +20,10 @@
 
 
 class DatagramSocket:
-    """A bound UDP socket whose datagrams go to ``on_datagram``.
+    """A bound UDP socket that passes its datagrams to ``on_datagram``.
 
-    ``dropped`` counts what the kernel would not send. Nothing is kept for later: the
-    ends of a flow repeat what was lost.
+    ``dropped`` counts datagrams that the kernel did not accept. They are not queued,
+    because the ends of a flow retransmit lost packets.
     """
 
     def __init__(self, bound: socket.socket) -> None:
@@ -31,14 +32,14 @@
         self.dropped = 0
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
-        """Send one datagram, or drop and count it."""
+        """Send a datagram, or drop and count it."""
         try:
             self.socket.sendto(data, address)
         except OSError:
             self.dropped += 1
 
     def read(self) -> None:
-        """Hand on what has arrived."""
+        """Pass the datagrams that have arrived to ``on_datagram``."""
         for _ in range(MAX_READS_PER_TURN):
             try:
                 data, sender = self.socket.recvfrom(MAX_DATAGRAM_BYTES)
@@ -64,4 +65,4 @@
 
 
 def _discard(data: bytes, sender: tuple[str, int]) -> None:
-    """Take a datagram that comes before there is anybody to hear it."""
+    """Discard a datagram that arrives before a handler is set."""
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/dead_flows.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/dead_flows.py
@@ -1,4 +1,4 @@
-"""What an agent does with flows when a life of its endpoint ends."""
+"""Resets flows when an incarnation of the agent's endpoint ends."""
 
 from typing import TYPE_CHECKING
 
@@ -16,20 +16,21 @@
 
 
 def reset_flows(agent: "Agent", reason: str, *, before: float | None = None) -> None:
-    """Reset the flows of an endpoint's life that has ended.
+    """Reset the flows of an incarnation of the endpoint that has ended.
 
-    Flows that may have opened at another endpoint are forgotten only: a first
-    packet that this one never answered, or not in time, is offered elsewhere, and
-    reset from here that flow would break. Clients of the others are told when their
-    next packet finds no owner.
+    Flows that may be open at another endpoint are only removed: a first packet that
+    this endpoint did not answer, or answered late, is offered to another one, and a
+    reset from here would break that flow. If such a flow is dead, its client is reset
+    when the next packet finds no owner.
 
     Args:
-        reason: For the log.
-        before: Only flows that began before this time. A new life may take flows
-            before its first report; reset with those of the old one, they would
-            break while their endpoint lives. What began after the old life's last
-            report may be of either. The endpoint itself tells: it sends back the
-            next packet of a flow that it doesn't hold.
+        agent: The agent.
+        reason: Reason for the log.
+        before: Reset only flows that started before this time. A new incarnation may
+            accept flows before its first report, and a reset would break them. Flows
+            that started after the last report of the old incarnation may belong to
+            either; for these, the endpoint sends back the next packet if it doesn't
+            hold the flow.
     """
     for flow, owned in agent.flows.all():
         if before is not None and owned.started_at >= before:
@@ -44,8 +45,8 @@
 def reset_dead_flow(agent: "Agent", flow: int, owned: OwnedFlow, reason: str) -> None:
     """Reset a flow that its endpoint no longer holds.
 
-    Its client would repeat packets until its time budget ends; told at once, it
-    tries again while there is time.
+    Without the reset, the client would retransmit until its time budget ends. With it,
+    the client can retry while there is time.
     """
     agent.flows.remove(flow)
     agent.request_queue.remove(flow)
@@ -56,7 +57,7 @@
 
 
 def log_endpoint(agent: "Agent", event: str) -> None:
-    """Log what an agent knows of its endpoint now."""
+    """Log the current state of the agent's endpoint."""
     endpoint = agent.endpoint
     extra = {
         "life": str(endpoint.incarnation),
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivery.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivery.py
@@ -1,4 +1,4 @@
-"""Hands packets of flows to the endpoint, or says that it doesn't hold them."""
+"""Forwards packets to the endpoint, or reports that it does not hold their flow."""
 
 from typing import TYPE_CHECKING
 
@@ -24,7 +24,8 @@
 if TYPE_CHECKING:
     from cornelspan_passthrough.agent import Agent
 
-# Questions that wait for the endpoint's word; it answers within its own round trip.
+# Packets of unknown flows that await the endpoint's reaction. The endpoint reacts
+# within a round trip.
 MAX_UNCONFIRMED_PACKETS = 4096
 log = get_log(__name__)
 
@@ -32,7 +33,15 @@
 def forward_packet(
     agent: "Agent", packet: bytes, kind: int, balancer: str, now: float
 ) -> None:
-    """Hand a packet to the endpoint if it holds the flow, or may do so."""
+    """Forward a packet to the endpoint if it holds the flow, or may hold it.
+
+    Args:
+        agent: The agent.
+        packet: The client's packet.
+        kind: ``DELIVER``, or ``TRY`` if the balancer is searching for the owner.
+        balancer: Address of the balancer that sent the packet.
+        now: Time of the event loop's clock.
+    """
     header = agent.codec.read_client(packet)
     if header is None:
         agent.counts["broken_packets"] += 1
@@ -54,7 +63,7 @@
 def _forward_or_queue(
     agent: "Agent", header: PacketHeader, owned: OwnedFlow, packet: bytes, now: float
 ) -> None:
-    """Hand a packet of a flow to the endpoint, or hold its request for room."""
+    """Forward a packet of a flow, or queue its request if all slots are in use."""
     if _begins_request(owned, header):
         if agent.request_queue.contains(header.flow):
             agent.request_queue.add_packet(header.flow, packet, header.sequence)
@@ -67,7 +76,7 @@
             agent.request_queue.push(header.flow, request, packet, header.sequence)
             agent.counts["requests_held"] += 1
             log.info(
-                "request held",
+                "request queued",
                 extra={
                     "flow": flow_text(header.flow),
                     "priority": owned.urgency.priority,
@@ -85,26 +94,26 @@
 
 
 def _begins_request(owned: OwnedFlow, header: PacketHeader) -> bool:
-    """Whether a packet is the first of a request."""
+    """Whether a packet is the first of a new request."""
     if not header.length or owned.request_started_at != NO_REQUEST:
         return False
     return not is_retransmission(owned, header.sequence, header.length)
 
 
 def request_limit(agent: "Agent") -> int:
-    """How many requests may be at the endpoint at once."""
+    """Return how many requests may be at the endpoint at once."""
     return agent.endpoint.capacity + agent.queued_requests
 
 
 def release_requests(agent: "Agent", now: float) -> None:
-    """Hand over requests that wait, as far as there is room."""
+    """Forward queued requests while the endpoint is below its request limit."""
     record_lost_requests(agent, now)
     if not agent.request_queue:
         return
     while agent.flows.running < request_limit(agent):
         for expired in agent.request_queue.drop_expired(now):
             extra = {"flow": flow_text(expired), "reason": "time budget spent"}
-            log.info("request dropped unrun", extra=extra)
+            log.info("queued request dropped", extra=extra)
         popped = agent.request_queue.pop(now, agent.flows.response_seconds)
         if popped is None:
             return
@@ -124,7 +133,7 @@
 
 
 def forward_to_owner(agent: "Agent", packet: bytes, balancer: str, now: float) -> None:
-    """Pass a packet on to the owner that is recorded here, and name it."""
+    """Forward a packet to its flow's recorded owner, and tell the sender the owner."""
     header = agent.codec.read_client(packet)
     if header is None:
         agent.counts["broken_packets"] += 1
@@ -133,7 +142,7 @@
         agent.send_owner(header.flow, balancer)
         forward_packet(agent, packet, messages.DELIVER, balancer, now)
         return
-    owner = agent.directory.get(header.flow, now)
+    owner = agent.owner_records.get(header.flow, now)
     if owner is None or owner == agent.own_address:
         agent.send(
             balancer, messages.encode_flow_message(messages.UNKNOWN, header.flow)
@@ -142,13 +151,13 @@
     agent.send(
         balancer, messages.encode_flow_message(messages.OWNED, header.flow, agent=owner)
     )
-    # The balancer sends what follows to the owner; this packet goes with the name,
-    # as coming from it, so that the owner's word goes to the balancer too.
+    # The balancer sends later packets to the owner itself. This one is forwarded with
+    # the balancer's address, so that the owner replies to the balancer.
     agent.send(address_text(owner), messages.encode_forwarded(packet, balancer))
 
 
 def answer_ask(agent: "Agent", flow: int, now: float) -> bytes:
-    """Return the answer to a balancer that seeks the owner of a flow."""
+    """Return the reply to a balancer that searches for the owner of a flow."""
     if agent.flows.get(flow) is not None:
         return messages.encode_flow_message(
             messages.OWNED, flow, agent=agent.own_address
@@ -159,13 +168,13 @@
 
 
 def _may_hold_unknown_flow(agent: "Agent", now: float) -> bool:
-    """Whether the endpoint may hold a flow that opened before this process did.
+    """Whether the endpoint may hold a flow that opened before this process started.
 
-    An agent that is restarted beside a living endpoint has forgotten its flows. The
-    endpoint itself tells: it sends back what it doesn't hold. One that was still
-    cold at its first report began about when this process did, after a common loss
-    of power; it has no flows of an earlier time, and saying so at once saves a
-    packet to each endpoint for each dead flow.
+    An agent that restarts beside a running endpoint has lost its flow table. Packets of
+    unknown flows then go to the endpoint, which sends back those that it doesn't hold.
+    An endpoint that was still cold at its first report started at about the same time
+    as this process, after a power loss that hit both. It holds no earlier flows, and
+    knowing that saves one packet to each endpoint for each dead flow.
     """
     if agent.endpoint.has_no_earlier_flows:
         return False
@@ -188,8 +197,8 @@
 ) -> None:
     """Tell a balancer that the endpoint does not hold a flow.
 
-    The packet goes back with it, unless the balancer has kept it for its search: sent
-    back by each of many agents that were tried, it filled the links of small VMs.
+    The packet is returned, unless the balancer has kept it for its search. Returned by
+    each of the many agents that a search asks, it would fill the links of small VMs.
     """
     agent.counts["flows_not_here"] += 1
     agent.send(
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
@@ -1,20 +1,22 @@
-"""What an agent knows of its endpoint from the endpoint's own reports."""
+"""The state of an agent's endpoint, as derived from the endpoint's reports."""
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
 from cornelspan_passthrough.pulses import DOWN, DRAINING, READY
 
-# A report may be late by part of its interval; after 1.8 of them one is surely missing.
+# A report may be late by part of its interval. After 1.8 intervals one has been lost or
+# was never sent.
 MISSING_REPORT_INTERVALS = 1.8
-# An ended life that reports again is taken back if it goes on reporting while the one
-# in its place does not. Reports that were held up on the way may be several.
+# An ended incarnation is accepted again after this many reports, provided that its
+# successor has stopped reporting. One report is not enough: several reports of an ended
+# incarnation may have been delayed by the network.
 RESUME_REPORTS = 2
-# After this part of an interval without a first report an agent that has just started
-# looks whether there is an endpoint at all. Beside one that is gone it would wait for
-# ever to be told whether a flow lives there.
+# An agent that has just started probes the endpoint if no report arrives within this
+# part of an interval. Without the probe, an agent whose endpoint is gone would never
+# learn that the endpoint holds no flows.
 FIRST_REPORT_INTERVALS = 0.3
-# Two connections that hang, a report's interval apart, and no report meanwhile.
+# Consecutive connection attempts without an answer, one report interval apart.
 SILENT_PROBES = 2
 MAX_ENDED_INCARNATIONS = 64
 
@@ -24,7 +26,7 @@
     """One run of an endpoint's process, from a start to the next.
 
     ``name`` may be the same after a restart. ``started_milliseconds`` is the Unix time
-    of the start by the endpoint's own clock, None if it doesn't say.
+    of the start by the endpoint's own clock, None if the endpoint does not report it.
     """
 
     name: str
@@ -36,7 +38,7 @@
         return f"{self.name}@{self.started_milliseconds}"
 
     def is_before(self, other: "Incarnation") -> bool:
-        """Whether this life surely began before another."""
+        """Whether this incarnation is known to have started before another."""
         own, others = self.started_milliseconds, other.started_milliseconds
         return own is not None and others is not None and own < others
 
@@ -45,9 +47,9 @@
 class Report:
     """One report of an endpoint.
 
-    ``sequence`` grows with each report of one life. ``capacity`` counts requests that
-    it works on at once, and ``cold_milliseconds`` tells how much longer it is slow
-    after its start.
+    ``sequence`` grows with each report of an incarnation. ``capacity`` is the number of
+    requests that the endpoint runs concurrently. ``cold_milliseconds`` is how much
+    longer it is slow after its start.
     """
 
     incarnation: Incarnation
@@ -59,11 +61,12 @@
 
 
 class ReportOutcome(Enum):
-    """What a report was taken for.
+    """How a report was classified.
 
-    ``ACCEPTED`` is one of the present life, also a repeat. ``NEW_INCARNATION`` is the first of a
-    new life after another one. ``STALE`` seems to come from a life that has ended,
-    ``WRONG_SERVICE`` from an endpoint of another service.
+    ``ACCEPTED`` reports, repeats included, come from the current incarnation.
+    ``NEW_INCARNATION`` is the first report of an incarnation that replaces another.
+    ``STALE`` reports seem to come from an incarnation that has ended, ``WRONG_SERVICE``
+    reports come from an endpoint of another service.
     """
 
     ACCEPTED = auto()
@@ -74,16 +77,22 @@
 
 @dataclass
 class Endpoint:
-    """The endpoint's state; times are of the loop's clock, in seconds.
-
-    Until its first report the endpoint is taken for ready: it may have lived on while
-    its agent was restarted. ``agent_started_at`` is when that agent started.
-    ``has_no_earlier_flows`` says that this life began under the eyes of the agent, or was
-    in its cold start when it first reported here, a second or two old. ``incarnation`` is None
-    before the first report and after the end of a life, ``newest_incarnation`` the one that began
-    last. ``ended`` counts the reports that came from each life after its end.
-    ``has_wrong_service`` says that an endpoint of another service reports here, and
-    ``is_leave_unconfirmed`` that somebody said that this one goes.
+    """The endpoint's state; times are of the event loop's clock, in seconds.
+
+    The endpoint counts as ready until its first report, because it may have kept
+    running while its agent restarted. ``agent_started_at`` is when the agent started.
+
+    ``has_no_earlier_flows`` is set if the endpoint can't hold flows that were opened
+    before the agent started: the incarnation started while the agent was running, or
+    was still in its cold start, a second or two old, at its first report.
+
+    ``incarnation`` is None before the first report and after an incarnation has ended.
+    ``newest_incarnation`` is the one that started last. ``ended`` maps each ended
+    incarnation to the number of reports received from it since.
+
+    ``has_wrong_service`` is set while an endpoint of another service reports at this
+    address. ``is_leave_unconfirmed`` is set by a leave call that may be of an earlier
+    incarnation.
     """
 
     service: str
@@ -103,24 +112,24 @@
 
     @property
     def announced_state(self) -> int:
-        """The state for new flows, as balancers are told it.
+        """The state for new flows that balancers are told.
 
-        Another service's endpoint at this address may have taken it over, so no new
-        flow goes there. It may also be a stray report beside a sound endpoint, so its
-        flows are left alone; the next report of the sound one ends the doubt.
+        An endpoint of another service may have taken over this address, so no new flow
+        is sent there. The report may also have come from elsewhere while the endpoint
+        is healthy, so open flows are kept. The next report of the right service ends
+        this state.
         """
         if self.has_wrong_service and self.state == READY:
             return DRAINING
         return self.state
 
     def receive_report(self, report: Report, now: float) -> ReportOutcome:
-        """Take in a report.
+        """Process a report.
 
-        A report that was held up on the way may come from a life that has ended, after
-        its successor's first. It must not bring the old life back, or open flows of
-        the new one would be given up. When a life began decides, not when its report
-        arrives: an agent that was restarted between the two has not seen the old life
-        end.
+        A delayed report of an ended incarnation may arrive after its successor's first
+        report. It must not replace the successor, or the successor's open flows would
+        be reset. Start times decide, not the order of arrival, because an agent that
+        restarted between the two reports has not seen the earlier incarnation end.
         """
         seems_ended = report.incarnation != self.incarnation and self._has_ended(
             report.incarnation
@@ -135,11 +144,12 @@
         return self._start_incarnation(report, now)
 
     def leave(self, incarnation: Incarnation) -> bool:
-        """Take in that a life is over; return whether it was the present one.
+        """Process a leave call; return whether it ended the current incarnation.
 
-        Word of the present name that doesn't say which of its lives it ends may be of
-        an earlier one, held up on the way. Believed, it would end the flows of a life
-        that goes on. So it only raises a doubt, and the endpoint's port tells.
+        A call that has the current name but no start time may be a delayed call of an
+        earlier incarnation. Obeying it would reset the flows of a running endpoint. It
+        only marks the endpoint for a probe, and the probe's connection shows whether
+        the endpoint is gone.
         """
         if self.incarnation is None:
             return False
@@ -151,12 +161,12 @@
         return False
 
     def mark_down(self) -> None:
-        """Note that nothing listens at the endpoint's address."""
+        """Record that nothing listens at the endpoint's address."""
         self._end_incarnation()
         self.state = DOWN
 
     def is_overdue(self, now: float) -> bool:
-        """Whether a report is missing, or the endpoint is said to have gone."""
+        """Whether a report is missing or an unconfirmed leave call needs a probe."""
         if self.is_leave_unconfirmed:
             return True
         if self.reported_at is None:
@@ -166,22 +176,22 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether it neither reports nor takes connections."""
+        """Whether the endpoint neither reports nor accepts connections."""
         return self.unanswered_probes >= SILENT_PROBES
 
     def _reject_wrong_service(self, report: Report) -> ReportOutcome:
-        """Take in a report of another service; one life is of one service."""
+        """Process a report of another service; an incarnation never changes service."""
         if report.incarnation == self.incarnation:
             return ReportOutcome.STALE
         self.has_wrong_service = True
         return ReportOutcome.WRONG_SERVICE
 
     def _update(self, report: Report, now: float) -> None:
-        """Take in a report of the present life.
+        """Process a report of the current incarnation.
 
-        Leaving is for good within one life, so it counts also when later reports have
-        overtaken its word: acknowledged and not obeyed, the endpoint would get new
-        flows after its time to drain.
+        An incarnation that drains never becomes ready again, so ``draining`` counts
+        even in a report that arrives after later ones. Ignored though acknowledged, it
+        would leave the endpoint with new flows after its time to drain.
         """
         if report.draining:
             self.state = DRAINING
@@ -222,10 +232,10 @@
             del self.ended[next(iter(self.ended))]
 
     def _has_ended(self, incarnation: Incarnation) -> bool:
-        """Whether a life seems to have ended, as a later one has begun.
+        """Whether an incarnation seems to have ended, as a later one has started.
 
-        One that doesn't say when it began, under the name of one that does, can't be
-        told from it and is doubted as well.
+        An incarnation without a start time can't be told from one that has the same
+        name and a start time, and counts as ended too.
         """
         if incarnation in self.ended:
             return True
@@ -236,10 +246,10 @@
         ) or incarnation == Incarnation(self.newest_incarnation.name)
 
     def _has_resumed(self, incarnation: Incarnation, now: float) -> bool:
-        """Whether a life that was taken to have ended is the present one after all.
+        """Whether an incarnation that seemed to have ended is still running.
 
-        An endpoint whose clock was set back before its start seems to be older than the
-        one before it; that one reports no more.
+        If a VM's clock was set back before the endpoint's start, the new incarnation
+        seems older than its predecessor, which no longer reports.
         """
         self.ended[incarnation] = self.ended.get(incarnation, 0) + 1
         self._trim_ended()
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
@@ -1,4 +1,4 @@
-"""The flows that an agent's endpoint holds, as the agent sees them go by."""
+"""The flows of an agent's endpoint, tracked from the packets that pass the agent."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -9,36 +9,40 @@
 from cornelspan_passthrough.urgency import DEFAULT_URGENCY, Urgency
 
 NO_REQUEST = 0.0
-# A request that has run this many times the usual is no longer taken to fill a slot:
-# its client has gone, or the endpoint is grey and will never answer. Counted on, a few
-# of them took up all the room of a one-slot endpoint, and what waited there was dropped
-# unrun five seconds later. Should it still run, the endpoint's own queue has room.
+# A request that has run this many times the mean response time no longer counts against
+# the endpoint's slots: its client has gone, or the endpoint fails without closing
+# connections and will never answer. If such requests kept counting, a few of them would
+# use all slots of a one-slot endpoint, and requests queued there would expire five
+# seconds later. If a request does still run, the endpoint's own queue has room for one
+# more.
 LOST_REQUEST_FACTOR = 8.0
 LOST_REQUEST_SECONDS = 0.4
-# Sequence numbers have 32 bits and begin anywhere; what is less than half of them ahead
-# is ahead.
+# Sequence numbers have 32 bits, start anywhere and wrap around. A number is ahead of
+# another if it is less than half the range further on.
 SEQUENCE_MASK = 0xFFFFFFFF
 AHEAD_RANGE = range(1, 1 << 31)
-# The share of a new measure in the endpoint's pace.
+# Weight of a new sample in the moving average of response times.
 RESPONSE_TIME_WEIGHT = 0.1
-# With log-normal times of a deviation of 0.5 one request in 140 runs for so much longer
-# than the mean of a sound endpoint.
+# With log-normal response times of standard deviation 0.5, a healthy endpoint takes
+# this many times the mean for one request in 140.
 OVERDUE_FACTOR = 3.0
-# An endpoint that gets nothing is tried again after this, as one of usual pace.
+# After this time without a sample, the response time is unknown and the endpoint is
+# placed like an average one.
 RESPONSE_TIME_VALID_SECONDS = 2.0
 NEVER = float("-inf")
-# Late packets of a flow that has ended still go to the endpoint, which answers them.
+# Late packets of an ended flow are still sent to the endpoint, which answers them.
 ENDED_FLOW_SECONDS = 10.0
 MAX_FLOWS = 200_000
-# Starts of flows that are kept to tell how many began of late.
+# Start times kept to count recently started flows.
 MAX_RECENT_STARTS = 32
 
 
 class UnconfirmedPacket(NamedTuple):
-    """A packet of an unknown flow that the endpoint has been handed.
+    """A packet of an unknown flow, sent on in case the endpoint holds the flow.
 
-    ``balancer`` is the balancer it came from, ``at`` when. ``is_try`` says that the
-    balancer seeks the owner and keeps the packet.
+    ``balancer`` is the address of the balancer that sent the packet. ``is_try`` is set
+    if that balancer is searching for the owner and has kept the packet.
+    ``forwarded_at`` is when the packet went to the endpoint.
     """
 
     balancer: str
@@ -51,23 +55,25 @@
 
 @dataclass(slots=True)
 class OwnedFlow:
-    """One flow.
-
-    ``balancer`` is the balancer that its first packet came over and ``homes`` the agents
-    that record the owner. ``urgency`` is what the route said when the flow
-    opened. ``established`` says that the endpoint surely holds it, as it has sent more
-    than its answer to the first packet. ``acknowledged`` is what the client has
-    acknowledged last. ``request_started_at`` is when a request began, ``NO_REQUEST`` for none.
-    ``is_learned`` says that the flow opened before this process started, and that no
-    request that this process saw has been answered yet. ``sent_up_to`` is the sequence
-    number up to which the endpoint got data, None before the first. Times are of the
-    loop's clock, in seconds.
+    """A flow that the endpoint holds or has been offered.
+
+    ``balancer`` is the balancer that sent its latest packet, and ``homes`` are the
+    agents that record its owner. ``urgency`` is that of its route when the flow opened.
+    ``accepted`` is set once the endpoint has answered the first packet. ``established``
+    is set once the endpoint has sent anything after that answer, so that it certainly
+    holds the flow. ``acknowledged`` is the client's latest acknowledgement number.
+
+    ``request_started_at`` is when the current request was sent, ``NO_REQUEST`` for
+    none. ``sent_up_to`` is the sequence number after the last byte sent to the
+    endpoint, None before any data. ``is_learned`` is set if the flow opened before this
+    process started, until the first answer to a request that this process has sent.
+    Times are of the event loop's clock, in seconds.
     """
 
     balancer: str
     homes: tuple[int, int]
     started_at: float
-    used_at: float
+    last_used_at: float
     urgency: Urgency = DEFAULT_URGENCY
     accepted: bool = False
     established: bool = False
@@ -79,10 +85,10 @@
 
 
 def is_retransmission(owned: OwnedFlow, sequence: int, length: int) -> bool:
-    """Whether the endpoint has been handed all data of a packet before.
+    """Whether the endpoint has already been sent all data of a packet.
 
-    A client that lost an answer repeats its request. The endpoint only sends its answer
-    again, so the repeat is no work and need not wait.
+    A client that lost an answer retransmits its request. The endpoint only sends its
+    answer again, so the retransmission needs no slot and is not queued.
     """
     if owned.sent_up_to is None:
         return False
@@ -91,10 +97,11 @@
 
 @dataclass
 class FlowTable:
-    """Flows by number.
+    """Flows by flow number.
 
-    ``requests`` holds when each flow's request went to the endpoint, in that order.
-    ``open_flows`` counts flows that are open and have not ended: what will send again.
+    ``requests`` maps each flow with a running request to when the request was sent, in
+    that order. ``open_flows`` counts flows that are established and have not ended.
+    ``response_seconds`` is a moving average over requests.
     """
 
     flow_seconds: float
@@ -113,15 +120,15 @@
 
     @property
     def running(self) -> int:
-        """How many requests are at the endpoint."""
+        """How many requests are running at the endpoint."""
         return len(self.requests)
 
     def response_seconds_now(self, now: float) -> float:
-        """Return how long the endpoint takes for a request now, 0.0 if not known.
+        """Return the endpoint's current response time in seconds, 0.0 if unknown.
 
-        A request that has run for much longer than usual says so before its answer
-        does. Without a request and an answer for some time the endpoint may have
-        become quick or slow unseen.
+        A request that runs much longer than the average raises the value before its
+        answer arrives. The average is discarded after some time without requests and
+        answers, because the endpoint may have become faster or slower meanwhile.
         """
         started_at = next(iter(self.requests.values()), None)
         if started_at is not None:
@@ -134,13 +141,13 @@
         )
 
     def get(self, flow: int) -> OwnedFlow | None:
-        """Return a flow, None if it isn't known here."""
+        """Return a flow, None if it is unknown."""
         return self.by_flow.get(flow)
 
     def start(
         self, flow: int, balancer: str, homes: tuple[int, int], now: float
     ) -> OwnedFlow:
-        """Begin a flow in place of any older one of its number."""
+        """Add a flow, replacing any earlier one with the same number."""
         self.remove(flow)
         if len(self.by_flow) >= MAX_FLOWS:
             self.remove(next(iter(self.by_flow)))
@@ -150,14 +157,14 @@
         return owned
 
     def started_since(self, earliest: float) -> int:
-        """Return how many flows began after a time, as far as kept."""
+        """Return how many of the latest flows started after a time."""
         return sum(1 for at in self.recent_starts if at > earliest)
 
     def record_sent(
         self, flow: int, owned: OwnedFlow, header: PacketHeader, now: float
     ) -> None:
-        """Note a packet on its way to the endpoint; new data begins a request."""
-        owned.used_at = now
+        """Record a packet that goes to the endpoint; new data starts a request."""
+        owned.last_used_at = now
         owned.acknowledged = header.acknowledged
         if not header.length or is_retransmission(
             owned, header.sequence, header.length
@@ -171,18 +178,19 @@
     def record_response(
         self, flow: int, owned: OwnedFlow, length: int, now: float
     ) -> None:
-        """Note a packet of the endpoint after its first; data answers the request."""
-        owned.used_at = now
+        """Record a packet of the endpoint after its first; data ends the request."""
+        owned.last_used_at = now
         if not owned.established:
             owned.established = True
             self.open_flows += 1
         if length:
             self._complete_request(flow, owned, now)
         elif owned.is_learned:
-            # An acknowledgement without data, on a flow that opened before this process
-            # started: the endpoint has had the request before. Its answer was lost with
-            # that process, and it sends that again by its own clock, up to 1.6 s later.
-            # Nothing runs, so no slot is filled.
+            # An acknowledgement without data on a flow that opened before this process
+            # started: the endpoint had received the request earlier, and its answer was
+            # lost with the previous process. The endpoint retransmits that answer on
+            # its own timer, up to 1.6 s later. Nothing runs meanwhile, so the request
+            # uses no slot.
             self.end_request(flow, owned)
 
     def _complete_request(self, flow: int, owned: OwnedFlow, now: float) -> None:
@@ -198,22 +206,22 @@
         self.response_time_updated_at = now
 
     def end(self, flow: int, owned: OwnedFlow) -> None:
-        """Note that one of its ends has closed a flow."""
+        """Record that the client or the endpoint has closed a flow."""
         self.end_request(flow, owned)
         if owned.established and not owned.ended:
             self.open_flows -= 1
         owned.ended = True
 
     def end_request(self, flow: int, owned: OwnedFlow) -> None:
-        """Note that a flow's request no longer runs."""
+        """Record that a flow's request is no longer running."""
         owned.request_started_at = NO_REQUEST
         self.requests.pop(flow, None)
 
     def drop_lost_requests(self, now: float) -> int:
-        """Forget requests that have run for so long that they are taken for lost.
+        """Stop counting requests that have run so long that no answer is expected.
 
         Returns:
-            How many of them this process has seen begin.
+            The number of dropped requests on flows that are not learned ones.
         """
         multiple_of_mean = LOST_REQUEST_FACTOR * self.response_seconds
         limit = max(LOST_REQUEST_SECONDS, multiple_of_mean)
@@ -228,7 +236,7 @@
         return lost
 
     def remove(self, flow: int) -> OwnedFlow | None:
-        """Forget a flow and return it."""
+        """Remove a flow and return it, None if it is unknown."""
         owned = self.by_flow.pop(flow, None)
         if owned is not None:
             self.end(flow, owned)
@@ -239,8 +247,8 @@
         return list(self.by_flow.items())
 
     def sweep(self, now: float) -> None:
-        """Forget flows that have ended, or are too old to be spoken of."""
+        """Remove flows that have ended or have been idle for too long."""
         for flow, owned in list(self.by_flow.items()):
             retention_seconds = ENDED_FLOW_SECONDS if owned.ended else self.flow_seconds
-            if now - owned.used_at > retention_seconds:
+            if now - owned.last_used_at > retention_seconds:
                 self.remove(flow)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/hello.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/hello.py
@@ -1,4 +1,4 @@
-"""A daemon speaks up to its seeds until it knows others, or they know it."""
+"""Announces a daemon to its seeds until other daemons know it."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,15 +20,16 @@
     daemon_socket: DatagramSocket,
     is_known: Callable[[], bool],
 ) -> None:
-    """Speak up until this daemon is known.
+    """Send hello datagrams to the seeds until this daemon is known.
 
-    One that starts while the store turns it away would else know nobody.
+    Without them, a daemon that starts while the store is unavailable would learn of no
+    other daemon.
 
     Args:
-        settings: Its settings, with the seeds.
-        member: What it says of itself.
-        daemons: Its socket towards other daemons.
-        is_known: Whether there is nothing more to say.
+        settings: Settings of the daemon, with the seeds.
+        member: The daemon's own entry.
+        daemon_socket: Its socket for datagrams to other daemons.
+        is_known: Whether other daemons know this one, so that it can stop.
     """
     hello = Hello(member.address, member.role, member.datacentre, member.service)
     datagram = bytes((HELLO,)) + msgspec.msgpack.encode(hello)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/homes.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/homes.py
@@ -1,8 +1,9 @@
-"""Which agents record a flow's owner: its homes, by rendezvous hashing.
+"""The home agents of a flow, which record its owner, chosen by rendezvous hashing.
 
-The rank is over the agents of all services. Ranked within the service, a change of the
-traffic split would look for open flows at the agents of another service. Liveness has
-no part in it either, so balancers whose views differ in that name the same homes.
+Agents of all services are ranked together. If only those of the flow's service were, a
+change of the traffic split would make balancers look for open flows at another
+service's agents. Liveness is ignored, so balancers that disagree about it choose the
+same homes.
 
     homes = Homes()
     homes.replace(["10.1.0.11", "10.2.0.11"])
@@ -11,12 +12,12 @@
 
 from cornelspan_common.hashing import flow_key, name_seed, rank
 
-# A record at two agents survives the loss of one VM. With both gone all agents are
-# asked, so a third would save little and cost a datagram for each new flow.
+# Two copies of a record survive the loss of one VM. If both are lost, all agents are
+# asked, so a third copy would save little and cost one more datagram for each new flow.
 REPLICAS = 2
-# Flows are ranked by shard, each shard once a membership: ranking costs about a
-# microsecond an agent, too much for each flow. 16,384 shards over 3,500 agents are
-# close to five an agent.
+# Agents are ranked once for each shard and membership, not for each flow, because
+# ranking takes about a microsecond for each agent. 16,384 shards over 3,500 agents are
+# close to five for each agent.
 SHARDS = 16_384
 
 
@@ -28,7 +29,7 @@
         self.by_shard: dict[int, tuple[str, ...]] = {}
 
     def replace(self, agents: list[str]) -> None:
-        """Take in the addresses of all agents."""
+        """Replace the agents by those with these addresses."""
         seeds = [(name, name_seed(name), 1.0) for name in sorted(agents)]
         if seeds == self.seeds:
             return
@@ -36,7 +37,7 @@
         self.by_shard.clear()
 
     def of(self, flow: int) -> tuple[str, ...]:
-        """Return the homes of a flow, best first; fewer than two in a small fleet."""
+        """Return the homes of a flow, best first; fewer if there are too few agents."""
         shard = hash(flow) % SHARDS
         homes = self.by_shard.get(shard)
         if homes is None:
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/http.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/http.py
@@ -1,4 +1,4 @@
-"""A small HTTP server on tornado: a function from a request to an answer."""
+"""A small HTTP server on tornado that calls a function for each request."""
 
 import socket
 from collections.abc import Iterator
@@ -13,17 +13,18 @@
 
 @contextmanager
 def http_server(address: tuple[str, int], handler: Handler) -> Iterator[None]:
-    """Answer calls at an address by a function until the context ends."""
+    """Serve HTTP at an address by a handler until the context ends."""
     with listening_socket(address) as listener, serve_listener(listener, handler):
         yield
 
 
 @contextmanager
 def serve_listener(listener: socket.socket, handler: Handler) -> Iterator[None]:
-    """Answer calls that come to a socket by a function until the context ends.
+    """Serve HTTP on a listening socket by a handler until the context ends.
 
-    The function is called as soon as a request is whole and must not wait. Tornado's
-    web framework is left out: it costs a megabyte and half the time of each call.
+    The handler is called when a request is complete, and must not block. Tornado's web
+    framework is not used, because it costs a megabyte of memory and half the time of
+    each request.
     """
 
     def serve(request: HTTPServerRequest) -> None:
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/http_messages.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/http_messages.py
@@ -1,7 +1,7 @@
-"""HTTP calls that a daemon answers, as data.
+"""HTTP requests and responses as data.
 
-Apart from the server in ``http``, so that what reads and answers calls can be used
-before tornado is there.
+They are separate from the server in ``http``, so that calls can be decoded and answered
+before tornado is imported.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HTTPResponse:
-    """Status, body and type of the body."""
+    """Status, body and content type of a response."""
 
     status: int
     body: bytes = b""
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HTTPRequest:
-    """What a caller asks."""
+    """Method, path and body of a request."""
 
     method: str
     path: str
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/listeners.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/listeners.py
@@ -1,16 +1,16 @@
-"""Sockets that listen for HTTP calls before there is anything to answer them."""
+"""Listening sockets that accept HTTP connections before a server handles them."""
 
 import socket
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-# Calls of one endpoint, of routers, and of a few peers at once.
+# Connections of one endpoint, of routers and of a few peers at once.
 CONNECTION_BACKLOG = 64
 
 
 @contextmanager
 def listening_socket(address: tuple[str, int]) -> Iterator[socket.socket]:
-    """Yield a socket that takes connections until the context ends."""
+    """Yield a socket that accepts connections until the context ends."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listener.setblocking(False)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/messages.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/messages.py
@@ -1,20 +1,20 @@
-"""Datagrams between the system's daemons: one byte of kind, a fixed head, the rest.
+"""Datagrams between daemons: a byte for the kind, a fixed header and a payload.
 
-    OPEN      balancer to agent    a flow's first packet, for the endpoint to take
+    OPEN      balancer to agent    a flow's first packet, for the endpoint to accept
     DELIVER   balancer to agent    a packet of a flow that the agent owns
     FIND      balancer to home     a packet whose owner the balancer doesn't know
     ASK       balancer to agents   does your endpoint hold this flow?
-    MAYBE     agent to balancer    it may; only a packet of the flow will tell
+    MAYBE     agent to balancer    it may; only a packet of the flow will show it
     TRY       balancer to agent    that packet
-    REFUSED   agent to balancer    a first packet that its endpoint doesn't take
+    REJECTED  agent to balancer    a first packet that its endpoint doesn't accept
     NOT_HERE  agent to balancer    a packet of a flow that its endpoint doesn't hold
     OWNED     agent to balancer    the flow is owned by the named agent
     UNKNOWN   home to balancer     no owner is recorded
-    PASSED    home to owner        a packet found for a balancer, whose address it names
-    RECORD    owner to homes       remember the owner
+    FORWARDED home to owner        a packet of a FIND, with the balancer's address
+    RECORD    owner to homes       record the owner
     PING, PONG, HELLO, GONE        state of the daemons, see ``pulses``
 
-Packets are forwarded without being built anew, so a hop costs one concatenation.
+Packets are forwarded unchanged, so a hop costs one concatenation.
 """
 
 import struct
@@ -52,10 +52,10 @@
 class OpenMessage(NamedTuple):
     """A first packet on its way to an endpoint of a service.
 
-    ``urgency`` is that of the flow's requests. ``service_tag`` stands for the service
-    that the balancer chose. ``homes`` are the addresses of the agents that shall record
-    the owner, ``NO_ADDRESS`` for none. ``is_final`` says that no other endpoint is left to
-    try, so that one that is merely busy takes it.
+    ``urgency`` is that of the flow's requests. ``service_tag`` is a short hash of the
+    service that the balancer chose. ``homes`` are the addresses of the agents that
+    record the owner, ``NO_ADDRESS`` for none. ``is_final`` is set if no other endpoint
+    is left to try, so that a busy endpoint accepts too.
     """
 
     urgency: Urgency
@@ -66,7 +66,12 @@
 
 
 class FlowMessage(NamedTuple):
-    """A short message on a flow; ``agent`` is the address of the agent it names."""
+    """A message about a flow, with the flow's packet if there is one.
+
+    ``agent`` is the address of the agent that the message names, ``NO_ADDRESS`` for
+    none. ``detail`` is the reason in a ``REJECTED`` message, a key of
+    ``REJECTION_REASONS``.
+    """
 
     kind: int
     detail: int
@@ -76,7 +81,7 @@
 
 
 def encode_open(message: OpenMessage) -> bytes:
-    """Return the datagram of a first packet."""
+    """Return a first packet as a datagram."""
     priority, *milliseconds = message.urgency
     header = OPEN_HEADER.pack(
         OPEN,
@@ -90,7 +95,7 @@
 
 
 def decode_open(data: bytes) -> OpenMessage | None:
-    """Return the first packet that a datagram carries; None for a broken one."""
+    """Return the first packet in a datagram, None if the datagram is malformed."""
     if len(data) < OPEN_HEADER.size:
         return None
     _, *urgency, tag, first, second, is_final = OPEN_HEADER.unpack_from(data)
@@ -99,12 +104,12 @@
 
 
 def encode_packet(kind: int, packet: bytes) -> bytes:
-    """Return the datagram of a packet that needs no further word."""
+    """Return a packet as a datagram without further fields."""
     return bytes((kind,)) + packet
 
 
 def encode_forwarded(packet: bytes, balancer: str) -> bytes:
-    """Return the datagram of a packet that a home passes on for a balancer."""
+    """Return a packet that a home forwards for a balancer as a datagram."""
     return bytes((FORWARDED,)) + IPv4Address(balancer).packed + packet
 
 
@@ -123,13 +128,13 @@
     detail: int = 0,
     packet: bytes = b"",
 ) -> bytes:
-    """Return the datagram of a message on a flow."""
+    """Return a message about a flow as a datagram."""
     number = flow.to_bytes(FLOW_BYTES, "little")
     return FLOW_HEADER.pack(kind, detail, number, agent) + packet
 
 
 def decode_flow_message(data: bytes) -> FlowMessage | None:
-    """Return the message on a flow that a datagram carries; None for a broken one."""
+    """Return the flow message in a datagram, None if the datagram is malformed."""
     if len(data) < FLOW_HEADER.size:
         return None
     kind, detail, number, agent = FLOW_HEADER.unpack_from(data)
@@ -145,11 +150,11 @@
 ENDPOINT_PROBED = 6
 ENDPOINT_WRONG_SERVICE = 7
 REJECTION_REASONS = {
-    WRONG_SERVICE: "foreign service",
-    ENDPOINT_DRAINING: "endpoint leaves",
+    WRONG_SERVICE: "wrong service",
+    ENDPOINT_DRAINING: "endpoint draining",
     ENDPOINT_DOWN: "endpoint down",
     ENDPOINT_FULL: "endpoint full",
     ENDPOINT_BUSY: "endpoint busy",
-    ENDPOINT_PROBED: "endpoint is tried with one request",
+    ENDPOINT_PROBED: "endpoint is probed with one request",
     ENDPOINT_WRONG_SERVICE: "another service reports at the endpoint's address",
 }
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/metrics.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/metrics.py
@@ -51,7 +51,7 @@
     values["requests_waiting"] = len(agent.request_queue)
     values["requests_expired_total"] = agent.request_queue.expired
     values["repeats_dropped_total"] = agent.request_queue.repeats
-    values["recorded_owners"] = len(agent.directory)
+    values["recorded_owners"] = len(agent.owner_records)
     values["pace_seconds"] = agent.flows.response_seconds
     values["endpoint_state"] = agent.endpoint.state
     values["datagrams_dropped_total"] = (
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/openings.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/openings.py
@@ -1,27 +1,29 @@
-"""First packets that a balancer has placed and not seen opened yet."""
+"""First packets that a balancer has placed but not yet seen accepted."""
 
 from dataclasses import dataclass, field
 
-# A client gives up a flow this long after its first packet.
+# A client gives up opening a flow this long after its first packet.
 CLIENT_TIMEOUT_SECONDS = 1.4
-# What is older than this is another flow on the same port.
+# A first packet that arrives later than this opens another flow on the same port.
 RETENTION_SECONDS = 3.0
 MAX_OPENINGS = 65_536
-# A first packet waits this long for an agent to answer. After a loss of power agents
-# come up within a second of the balancers; a client whose flow is refused by then still
-# has time for a try of its own, while its own repeat comes after 200 and 600 ms only.
+# A first packet is held this long until an agent answers. After a power loss, agents
+# come up within a second of the balancers. A client that is rejected by then still has
+# time to retry, while its own retransmissions come only after 200 and 600 ms.
 HOLD_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class Opening:
-    """A flow on its way to an endpoint; ``confirmed`` once the endpoint took it.
-
-    ``first_sent_at`` is when its client sent the first copy, ``received_at`` when one came
-    here first. ``owner`` is the agent it was sent to last, ``rejected_by`` those whose
-    endpoint takes no flow, ``busy_agents`` those that only had too much to do; at the
-    ``is_final`` try that doesn't count. ``held_packet`` is its first packet while no agent is
-    known to be there, ``service`` what the configuration chose for it.
+    """A flow whose first packet is on its way to an endpoint.
+
+    ``first_sent_at`` is when the client sent the first copy, ``received_at`` when the
+    first copy reached this balancer. ``owner`` is the agent that the packet was last
+    sent to. ``rejected_by`` are agents whose endpoint takes no new flows,
+    ``busy_agents`` those whose endpoint only had too much work; in the ``is_final``
+    attempt, busy agents accept. ``confirmed`` is set once the endpoint has accepted the
+    flow. ``held_packet`` is the first packet while no agent is known to be up.
+    ``service`` is the service that the configuration selected.
     """
 
     sequence: int
@@ -37,23 +39,23 @@
 
     @property
     def rejections(self) -> int:
-        """How many agents have handed it back."""
+        """How many agents have rejected the flow."""
         return len(self.rejected_by) + len(self.busy_agents)
 
     @property
     def excluded_agents(self) -> set[str]:
-        """Agents that are not tried while another is left."""
+        """Agents that are skipped while others are left to try."""
         return self.rejected_by | self.busy_agents | {self.owner}
 
 
 @dataclass
 class Openings:
-    """Openings by flow, bounded; the oldest go first."""
+    """Openings by flow; the oldest are removed when there are too many."""
 
     by_flow: dict[int, Opening] = field(default_factory=dict)
 
     def get(self, flow: int, sequence: int, now: float) -> Opening | None:
-        """Return the opening of a flow that began with this sequence number."""
+        """Return the opening of a flow whose first packet has this sequence number."""
         opening = self.by_flow.get(flow)
         if opening is None or opening.sequence != sequence:
             return None
@@ -64,24 +66,24 @@
     def start(
         self, flow: int, sequence: int, now: float, first_sent_at: float
     ) -> Opening:
-        """Begin an opening in place of any older one of that flow."""
+        """Add an opening, replacing any earlier one of the same flow."""
         self.by_flow.pop(flow, None)
         opening = Opening(sequence, "", now, first_sent_at)
         self.by_flow[flow] = opening
         return opening
 
     def confirm(self, flow: int, owner: str) -> None:
-        """Note that an endpoint has answered the first packet."""
+        """Record that an endpoint has accepted the flow."""
         opening = self.by_flow.get(flow)
         if opening is not None and opening.owner == owner:
             opening.confirmed = True
 
     def with_held_packet(self) -> list[tuple[int, Opening]]:
-        """Return the openings whose first packet waits for an agent."""
+        """Return the openings whose first packet is held until an agent is up."""
         return [pair for pair in self.by_flow.items() if pair[1].held_packet]
 
     def sweep(self, now: float) -> None:
-        """Forget openings that are too old to matter."""
+        """Remove openings that are too old, and the oldest if there are too many."""
         for flow in list(self.by_flow):
             is_recent = now - self.by_flow[flow].received_at <= RETENTION_SECONDS
             if is_recent and len(self.by_flow) <= MAX_OPENINGS:
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/outlier_detection.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/outlier_detection.py
@@ -1,11 +1,11 @@
-"""Judges an agent's endpoint by what came of its requests.
+"""Detects from the results of requests that the agent's endpoint fails.
 
-The load pattern it answers: an endpoint whose health check is good while it resets or
-swallows what it is sent. Idle by its own failures, it looks like the least loaded and
-draws new flows from all that are sound.
+This covers endpoints that pass their health check while they reset or never answer
+requests. Such an endpoint is idle because it fails, looks like the least loaded one and
+attracts new flows away from healthy endpoints.
 
-Only heads are read, so a failure is a flow that the endpoint ends without an answer, or
-a request that it has had for much longer than usual.
+The agent reads only packet headers. A failure is therefore a flow that the endpoint
+closes without an answer, or a request that has run much longer than usual.
 """
 
 from typing import TYPE_CHECKING
@@ -19,7 +19,8 @@
 if TYPE_CHECKING:
     from cornelspan_passthrough.agent import Agent
 
-# A probe's first request follows its first packet after a round trip to the client.
+# The first request of a probing flow follows its first packet after a round trip to the
+# client. Flows that started within this time count as probes.
 FIRST_REQUEST_SECONDS = 0.05
 
 log = get_log(__name__)
@@ -28,10 +29,11 @@
 def record_packet(
     agent: "Agent", owned: OwnedFlow, header: PacketHeader, now: float
 ) -> None:
-    """Take in a packet of the endpoint, before the flow's request is ended by it.
+    """Record the result that a packet of the endpoint shows; call it before the update.
 
-    Flows that opened before this process started are left out: what they run is not
-    known, and their clients may have gone.
+    The flow table must still have the request, which the packet may end. Flows that
+    opened before this process started are ignored: the state of their requests is
+    unknown, and their clients may be gone.
     """
     if owned.request_started_at == NO_REQUEST or owned.is_learned:
         return
@@ -42,17 +44,17 @@
 
 
 def record_lost_requests(agent: "Agent", now: float) -> None:
-    """Forget requests that seem to be lost, and hold them against the endpoint."""
+    """Drop requests that count as lost, and record them as failures."""
     lost = agent.flows.drop_lost_requests(now)
     if lost:
         record_outcomes(agent, lost, now, succeeded=False)
 
 
 def record_outcomes(agent: "Agent", count: int, now: float, *, succeeded: bool) -> None:
-    """Count outcomes of requests, and tell all balancers when they change the standing.
+    """Record results of requests, and tell all balancers when the standing changes.
 
-    Balancers pass over an endpoint that is out, but not when too many are: the limit is
-    theirs, as an agent doesn't know the others.
+    Balancers skip ejected endpoints unless too many of a service are ejected. They
+    apply that limit, because an agent does not know the other endpoints.
     """
     detector = agent.outlier_detector
     before = detector.standing(now)
@@ -71,21 +73,22 @@
         "for_ms": max(0, round((detector.ejected_until - now) * 1000)),
         "ejections": detector.ejections,
     }
-    log.info("endpoint's standing changed", extra=extra)
+    log.info("ejection state changed", extra=extra)
     agent.counts["standing_changes"] += 1
     agent.send_pongs(now)
 
 
 def is_ejected(agent: "Agent", now: float) -> bool:
-    """Whether new flows should go elsewhere."""
+    """Whether the endpoint is ejected, so that new flows should go elsewhere."""
     return agent.outlier_detector.standing(now) is Standing.OUT
 
 
 def probe_rejection_reason(agent: "Agent", now: float) -> int:
-    """Return why an endpoint that is tried again takes no further flow; 0 if it does.
+    """Return why an endpoint that is being probed rejects a new flow, 0 if it doesn't.
 
-    One request at a time shows whether it has recovered. More would be lost with it:
-    it is idle, so every balancer sends it what has just come.
+    One request at a time is enough to show whether the endpoint has recovered. More
+    would be lost if it hasn't: as the endpoint is idle, every balancer would send it
+    new flows.
     """
     if agent.outlier_detector.standing(now) is not Standing.PROBING:
         return 0
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/packet_headers.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/packet_headers.py
@@ -1,8 +1,8 @@
-"""The head of a packet, as far as a daemon reads it, and the functions on packets.
+"""Packet headers, as far as daemons read them, and the functions of a packet format.
 
-A flow's two ends number, acknowledge and repeat its packets themselves. A daemon reads
-heads and carries the bytes on unchanged but for the mark, a field that the system may
-use on the way to an endpoint.
+Client and endpoint number, acknowledge and retransmit packets themselves. Daemons read
+the header and forward the bytes unchanged, except for the mark, a header field that the
+system may use on the way to an endpoint.
 """
 
 from collections.abc import Callable
@@ -24,11 +24,11 @@
 
 
 class PacketHeader(NamedTuple):
-    """What a packet says of itself.
+    """The header fields that daemons use.
 
-    ``flow`` is the same number for both directions, see ``flow_number``. ``flags`` are
-    of this module. ``sequence`` and ``acknowledged`` count bytes, ``length`` is the
-    size of the data after the head.
+    ``flow`` is the same for both directions, see ``flow_number``. ``flags`` are the
+    constants of this module. ``sequence`` and ``acknowledged`` count bytes. ``length``
+    is the size of the data after the header in bytes.
     """
 
     flow: int
@@ -40,13 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PacketCodec:
-    """How packets look on the wire, as functions.
+    """The functions that read and build packets in their format on the wire.
 
-    ``read_client`` and ``read_endpoint`` return None for bytes that are no packet. A
-    packet that an endpoint has bounced is read as its client sent it. ``marked``
-    returns a packet with another mark and without the flag of a bounced one, and
-    ``reset`` the packet that ends a flow in the name of its route. ``waited_seconds``
-    tells how long a client has waited already when it sends a first packet.
+    ``read_client`` and ``read_endpoint`` return None for malformed packets. A bounced
+    packet, which an endpoint sends back, is read as its client sent it. ``marked``
+    returns a packet with another mark and without the bounced flag. ``reset`` returns
+    the packet that resets a flow in the name of its route. ``waited_seconds`` returns
+    how long a client had waited when it sent this copy of its first packet.
     """
 
     read_client: Callable[[bytes], PacketHeader | None]
@@ -59,7 +59,7 @@
 def flow_number(
     client_address: int, client_port: int, route_address: int, route_port: int
 ) -> int:
-    """Return the number of a flow: its four addresses and ports side by side."""
+    """Return a flow's number: both addresses and ports, concatenated."""
     client = client_address << PORT_BITS | client_port
     route = route_address << PORT_BITS | route_port
     return client << ROUTE_BITS | route
@@ -94,7 +94,7 @@
 
 
 def flow_text(flow: int) -> str:
-    """Return a flow for the log: client, then route.
+    """Return a flow in the form used in logs: client, then route.
 
     Example: ``100.64.0.7:40001>198.18.0.1:443``.
     """
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/request_queue.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/request_queue.py
@@ -1,13 +1,15 @@
-"""Requests that wait at an agent for room at its endpoint.
-
-The load pattern it answers: a crowd. After a disaster, or when many users come at once,
-an endpoint gets more requests than it works on and queues; it sheds the rest, whatever
-they are, and their callers come back at once. Held here instead, they go out when there
-is room: the route's highest priority first, then what can still be answered on time.
-
-    line = WaitingLine()
-    line.hold(flow, Held(1, Times(11.2, 12.5), since=11.0), packet, sequence)
-    line.take(now=11.0, pace_seconds=0.04)
+"""Requests that wait at an agent until its endpoint has a free slot.
+
+Under a burst of load, such as after an outage, an endpoint gets more requests than it
+can run. It would queue some and shed the rest, whatever their priority, and the callers
+would retry at once. Queued at the agent instead, requests are released as slots become
+free: the highest priority first, and within a priority those that can still be answered
+on time.
+
+    queue = RequestQueue()
+    deadlines = Deadlines(11.2, 12.5)
+    queue.push(flow, QueuedRequest(1, deadlines, queued_at=11.0), packet, sequence)
+    queue.pop(now=11.0, response_seconds=0.04)
 """
 
 from collections.abc import Callable
@@ -15,20 +17,22 @@
 
 from cornelspan_passthrough.urgency import Deadlines
 
-# A flow's ends have at most this many packets in flight.
+# A client has at most this many packets of a flow in flight.
 MAX_FLOW_PACKETS = 16
-# Requests held at once. At two slots and 40 ms this is more than what any time budget
-# of some seconds lets through; beyond it the longest wait is given up first.
+# Maximum number of queued requests. With two slots and 40 ms a request, this is more
+# than can be answered within a time budget of some seconds. Beyond it, the request that
+# was queued first is dropped.
 MAX_REQUESTS = 512
 
 
 @dataclass(slots=True)
 class QueuedRequest:
-    """One flow's request that waits.
+    """A flow's request that waits.
 
-    ``priority`` is the route's, 0 the highest. ``deadlines`` tells how long its answer is
-    worth something, and ``queued_at`` when it began to wait, in seconds of the loop's
-    clock. ``packets`` are by sequence number, so a caller's repeat takes no room.
+    ``priority`` is that of the route, 0 the highest. ``deadlines`` are when an answer
+    is no longer on time and when the caller gives up, ``queued_at`` is when the request
+    began to wait, in seconds of the event loop's clock. ``packets`` are by sequence
+    number, so that a retransmission takes no space.
     """
 
     priority: int
@@ -43,19 +47,21 @@
 def on_time_first(
     request: QueuedRequest, earliest_response: float
 ) -> tuple[float, ...]:
-    """Return a request's place in the line; the least goes first.
+    """Return a request's sort key; the request with the lowest key is released first.
+
+    Requests that can't be answered before their caller gives up come last. Otherwise
+    the oldest requests of a burst would each run just too late.
 
-    One that can't be done in its time comes after all that can, or a crowd's oldest
-    would each run just too late. Within a priority what can still be answered on time
-    goes before what is late already: by age or by deadline alone, a backlog makes each
-    request that comes after it late as well, for as long as any of it is left. At 1.1
-    times of what the endpoints can do, 82 % are answered on time, 36 % in the order of
-    deadlines and 22 % in that of age (``cornelspan experiment experiments/crowd.json``,
-    ten seconds, mean of three seeds).
+    Within a priority, requests that can still be answered on time come before those
+    that are already late. Ordered by age or deadline alone, a backlog would delay every
+    later request past its target until the backlog is gone. At a load of 1.1 times the
+    endpoints' capacity, 82 % of requests are answered on time, compared with 36 % in
+    the order of deadlines and 22 % in the order of age (``cornelspan experiment
+    experiments/crowd.json``, ten seconds, mean of three seeds).
 
     Args:
-        held: The request.
-        soonest: When it would be answered if it ran now.
+        request: The request.
+        earliest_response: When the request would be answered if it ran now.
     """
     target, deadline = request.deadlines
     return (
@@ -68,7 +74,11 @@
 
 @dataclass
 class RequestQueue:
-    """The requests that wait, by flow; ``order`` says which goes first."""
+    """The waiting requests by flow.
+
+    ``order`` gives the sort key by which requests are released. ``repeats`` counts
+    dropped retransmissions and ``expired`` dropped requests.
+    """
 
     order: RequestOrder = on_time_first
 
@@ -80,13 +90,13 @@
         return len(self.by_flow)
 
     def contains(self, flow: int) -> bool:
-        """Whether a request of a flow waits."""
+        """Whether a request of a flow is queued."""
         return flow in self.by_flow
 
     def push(
         self, flow: int, request: QueuedRequest, packet: bytes, sequence: int
     ) -> None:
-        """Let a request wait, by its first packet."""
+        """Queue a request with its first packet."""
         if len(self.by_flow) >= MAX_REQUESTS:
             del self.by_flow[next(iter(self.by_flow))]
             self.expired += 1
@@ -94,7 +104,7 @@
         self.by_flow[flow] = request
 
     def add_packet(self, flow: int, packet: bytes, sequence: int) -> None:
-        """Keep a further packet of a request that waits; drop the caller's repeats."""
+        """Add a packet to a queued request; drop retransmissions."""
         packets = self.by_flow[flow].packets
         if sequence in packets or len(packets) >= MAX_FLOW_PACKETS:
             self.repeats += 1
@@ -102,13 +112,13 @@
         packets[sequence] = packet
 
     def remove(self, flow: int) -> None:
-        """Forget a flow that has ended."""
+        """Remove the request of a flow that has ended."""
         self.by_flow.pop(flow, None)
 
     def pop(
         self, now: float, response_seconds: float
     ) -> tuple[int, QueuedRequest] | None:
-        """Take the request that shall run next, None if none waits."""
+        """Remove and return the request to release next, None if none is queued."""
         if not self.by_flow:
             return None
         earliest_response = now + response_seconds
@@ -119,9 +129,9 @@
         return flow, self.by_flow.pop(flow)
 
     def drop_expired(self, now: float) -> list[int]:
-        """Forget requests whose callers have given up, and return their flows.
+        """Drop requests whose callers have given up, and return their flows.
 
-        Run now, they would take slots for answers that nobody reads.
+        If they ran, they would use slots for answers that nobody receives.
         """
         flows = [
             flow
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
@@ -1,4 +1,4 @@
-"""Runs a pass-through agent: sockets, listing, and the endpoint's calls."""
+"""Runs a pass-through agent: its sockets, its listing and the endpoint's calls."""
 
 import asyncio
 import random
@@ -31,26 +31,26 @@
 from cornelspan_passthrough.store import Backoff, OpenStore, PlatformStore
 
 SWEEP_INTERVAL_SECONDS = 2.0
-# How often requests that wait are looked at when nothing else makes room for them.
+# Interval at which queued requests are checked when no packet releases them.
 RELEASE_INTERVAL_SECONDS = 0.05
-# The endpoint's life is looked at this often while a report is missing.
+# Interval of probes to the endpoint while a report is missing.
 PROBE_INTERVAL_SECONDS = 0.1
 PROBE_TIMEOUT_SECONDS = 0.3
-# Without a ping for this long, or unlisted in the pings for this long, an agent lists
-# itself anew: its entry may have been taken away.
+# An agent that gets no ping for this long, or that pings say is unlisted, lists itself
+# again: its entry may have been removed.
 PING_TIMEOUT_SECONDS = 3.0
-# With no balancer alive, each try doubles the wait up to this, so that a fleet of
-# thousands writes no more than some hundred times a second.
+# While no balancer pings, each attempt doubles the timeout up to this limit. A fleet of
+# thousands of agents then writes at most a few hundred entries a second.
 MAX_PING_TIMEOUT_SECONDS = 30.0
 LISTING_CHECK_SECONDS = 1.0
-# Time for other daemons to hear that this one stops.
+# Time for the last datagrams to leave before the sockets close.
 STOP_DELAY_SECONDS = 0.1
 
 log = get_log(__name__)
 
 
 class ProbeOutcome(Enum):
-    """What a connection to the endpoint's address has shown."""
+    """The result of a connection attempt to the endpoint's address."""
 
     ACCEPTED = auto()
     REFUSED = auto()
@@ -59,14 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveCall:
-    """An endpoint's word that a life of it is over."""
+    """The endpoint's call that one of its incarnations ends."""
 
     incarnation: Incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidCall:
-    """A call of the endpoint that can't be read, and why."""
+    """A call of the endpoint that can't be decoded, and the reason."""
 
     reason: str
 
@@ -81,10 +81,10 @@
     """Run an agent until it is told to stop.
 
     Args:
-        agent: The agent; its sockets are open and may have served packets already.
+        agent: The agent. Its sockets are open and may have served packets already.
         open_store: Returns the platform's store.
-        read_call: What an endpoint's call means; None for one that is unknown.
-        orders: When to stop, and where the settings are.
+        decode_call: Decodes an endpoint's request, None if its path is unknown.
+        orders: Signals to stop and to reload settings.
     """
     settings = agent.settings
     with ExitStack() as serving:
@@ -116,7 +116,7 @@
 
 
 def _serve_http(agent: Agent, decode_call: DecodeCall, serving: ExitStack) -> None:
-    """Answer the endpoint's calls, and those for metrics."""
+    """Serve the endpoint's calls and the metrics."""
     settings = agent.settings
     now = asyncio.get_running_loop().time
     if agent.report_listener is not None:
@@ -136,7 +136,7 @@
 
 
 def answer_call(agent: Agent, call: EndpointCall, now: float) -> HTTPResponse:
-    """Take in what the endpoint says and return the answer to its call."""
+    """Process a call of the endpoint and return the response."""
     match call:
         case Report():
             return _acknowledge_report(agent, call, now)
@@ -150,12 +150,13 @@
 
 
 def _acknowledge_report(agent: Agent, report: Report, now: float) -> HTTPResponse:
-    """Acknowledge a report if it is obeyed.
+    """Acknowledge a report only if it takes effect.
 
-    An endpoint that is told that its word to leave has arrived drains for as long as it
-    must and no longer. Acknowledged for a life that is not the present one, its word
-    would change nothing, and it would still get new flows when that time is over. Not
-    acknowledged, it reports again if it lives, and is believed by its second report.
+    An endpoint whose draining report is acknowledged drains for its configured time and
+    then stops. If a report of a stale incarnation were acknowledged, it would have no
+    effect, and the endpoint would still get new flows after that time. Without an
+    acknowledgement, a running endpoint reports again, and its second report is
+    accepted.
     """
     match agent.receive_report(report, now):
         case ReportOutcome.STALE:
@@ -171,15 +172,15 @@
 def _reject_call(
     agent: Agent, response: HTTPResponse, reason: str, now: float
 ) -> HTTPResponse:
-    """Count a call that is not taken in, and log it while the log has room."""
+    """Count a rejected call, and log it within the log's rate limit."""
     agent.counts["refused_reports"] += 1
     if agent.log_budget.take(1, now):
-        log.warning("endpoint's call refused", extra={"reason": reason})
+        log.warning("endpoint call rejected", extra={"reason": reason})
     return response
 
 
 async def _stay_listed(agent: Agent, member: Member, store: PlatformStore) -> None:
-    """List this agent, and again whenever its entry seems to be gone."""
+    """List this agent, and list it again whenever its entry may be gone."""
     backoff = Backoff(random.Random())
     await list_member(store, member, backoff)
     ping_timeout = PING_TIMEOUT_SECONDS
@@ -207,10 +208,10 @@
 
 
 async def _watch_endpoint(agent: Agent) -> None:
-    """Look whether the endpoint is still there when its report is missing.
+    """Probe the endpoint while its report is missing.
 
-    A crashed endpoint sends nothing more. A connection refused at its address is sure
-    evidence, so its flows can be reset while their clients have time to try again.
+    A crashed endpoint sends nothing more. A refused connection proves that it is gone,
+    so its flows are reset while their clients still have time to retry.
     """
     now = asyncio.get_running_loop().time
     while True:
@@ -218,7 +219,7 @@
         endpoint = agent.endpoint
         if endpoint.state == DOWN or not endpoint.is_overdue(now()):
             continue
-        log.info("report missing", extra={"life": str(endpoint.incarnation)})
+        log.info("endpoint report overdue", extra={"life": str(endpoint.incarnation)})
         match await _probe(agent.endpoint_address):
             case ProbeOutcome.REFUSED:
                 agent.mark_endpoint_down()
@@ -238,14 +239,14 @@
     except ConnectionRefusedError:
         return ProbeOutcome.REFUSED
     except (OSError, TimeoutError) as error:
-        log.info("endpoint not reached", extra={"reason": repr(error)})
+        log.info("endpoint probe failed", extra={"reason": repr(error)})
         return ProbeOutcome.UNANSWERED
     writer.close()
     return ProbeOutcome.ACCEPTED
 
 
 async def _release_periodically(agent: Agent) -> None:
-    """Let waiting requests go on when those at the endpoint are taken for lost."""
+    """Release queued requests when running ones count as lost."""
     now = asyncio.get_running_loop().time
     while True:
         await asyncio.sleep(RELEASE_INTERVAL_SECONDS)
@@ -260,7 +261,7 @@
 
 
 async def _stop(agent: Agent, store: PlatformStore) -> None:
-    """Stop: tell balancers, and leave the listing if the endpoint has gone as well."""
+    """Tell the balancers, and remove the entry if the endpoint is down as well."""
     agent.stopping = True
     log.info("stopping", extra={"endpoint": agent.endpoint.state})
     for address in agent.balancers:
@@ -270,5 +271,8 @@
     if agent.endpoint.state == DOWN:
         removed = await store.remove_member(agent.settings.address)
         if removed.is_err():
-            log.warning("still listed", extra={"reason": str(removed.unwrap_err())})
+            log.warning(
+                "removal from listing failed",
+                extra={"reason": str(removed.unwrap_err())},
+            )
     await asyncio.sleep(STOP_DELAY_SECONDS)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/startup.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/startup.py
@@ -1,10 +1,10 @@
 """Serves packets while the rest of a daemon is still being imported.
 
-After a common loss of power every client waits for the agents. What carries packets is
-a third of what a daemon imports; the event loop, HTTP and the store's client are the
-rest. So packets are served by a plain poll of their sockets from the start, and the
-rest comes on a thread. The thread gives way every 5 ms (``sys.getswitchinterval``), so
-a packet waits that long at most.
+After a power loss that hits all VMs, every client waits for the agents. The code that
+forwards packets is a third of a daemon's imports; the rest is the event loop, HTTP and
+the store's client. Sockets are therefore polled from the start, while a thread imports
+the rest. The thread yields every 5 ms (``sys.getswitchinterval``), so a packet is
+delayed by that much at most.
 """
 
 import importlib
@@ -18,7 +18,7 @@
 from cornelspan_passthrough.datagrams import DatagramSocket
 from cornelspan_passthrough.urgency import MILLISECONDS
 
-# As often as a balancer looks at what waits; an agent needs it less often.
+# A balancer's tick interval; agents need a tick less often.
 TICK_SECONDS = 0.02
 
 log = get_log(__name__)
@@ -27,12 +27,12 @@
 def import_while_serving(
     name: str, sockets: Sequence[DatagramSocket], tick: Callable[[float], None]
 ) -> ModuleType:
-    """Import a module on a thread, and serve sockets here until it is there.
+    """Import a module on a thread, and serve sockets on this one until it is imported.
 
     Args:
-        name: Full name of the module. What its import raises is raised here.
+        name: Full name of the module. Exceptions of its import are raised here.
         sockets: The sockets to read from.
-        tick: Called with the time, in seconds of the steady clock, about every 20 ms.
+        tick: Called with the monotonic time in seconds, about every 20 ms.
     """
     import_thread = threading.Thread(target=lambda: _import_logged(name), daemon=True)
     import_thread.start()
@@ -49,7 +49,7 @@
 
 
 def _import_logged(name: str) -> None:
-    """Import a module; the caller's own import raises a failure again."""
+    """Import a module, logging exceptions; the caller's import raises them again."""
     try:
         importlib.import_module(name)
     except Exception as error:
@@ -57,8 +57,8 @@
 
 
 def _run_logged(action: Callable[[], None]) -> None:
-    """Do a step; log what it raises, as the event loop does later."""
+    """Call a function and log its exceptions, as the event loop does later."""
     try:
         action()
     except Exception as error:
-        log.error("task failed: early packets", exc_info=error)
+        log.error("task failed: packets during startup", exc_info=error)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/suspension.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/suspension.py
@@ -1,25 +1,28 @@
-"""Notices that the VM was suspended."""
+"""Detects that the VM was suspended."""
 
 import time
 from dataclasses import dataclass, field
 
-# Shorter pauses are what any busy process sees.
+# Shorter pauses also occur in a busy process.
 MIN_SUSPENSION_SECONDS = 0.5
 
 
 def _clock_offset() -> float:
-    """Return how far the clock that counts suspensions is ahead of the steady one."""
+    """Return how far the boot clock is ahead of the monotonic clock, in seconds."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) - time.monotonic()
 
 
 @dataclass
 class SuspensionDetector:
-    """The two clocks' distance when last looked at, and when that was."""
+    """Detects suspensions by comparing the boot clock with the monotonic clock.
+
+    ``clock_offset`` is their difference at the last check, in seconds.
+    """
 
     clock_offset: float = field(default_factory=_clock_offset)
 
     def has_been_suspended(self) -> bool:
-        """Whether the VM stood still since the last look."""
+        """Whether the VM was suspended since the last check."""
         clock_offset = _clock_offset()
         increase = clock_offset - self.clock_offset
         self.clock_offset = clock_offset
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/urgency.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/urgency.py
@@ -1,4 +1,4 @@
-"""How urgent the requests of a flow are, and until when each is worth running."""
+"""Priority and deadlines of a flow's requests."""
 
 from typing import NamedTuple
 
@@ -6,12 +6,12 @@
 
 
 class Urgency(NamedTuple):
-    """What a flow's route says of its requests, and how long its client waits already.
+    """Priority and time limits of the requests of a flow, and the client's wait so far.
 
-    ``priority`` is 0 for the highest. ``target_milliseconds`` is how soon a request
-    should be answered, ``budget_milliseconds`` how long it may take at most.
-    ``waited_milliseconds`` were spent before the flow opened; they count against its
-    first request.
+    ``priority`` is 0 for the highest. ``target_milliseconds`` is the time within which
+    a request should be answered, ``budget_milliseconds`` the time after which its
+    caller gives up. ``waited_milliseconds`` is how long the client waited for the flow
+    to open. It counts against the first request.
     """
 
     priority: int
@@ -21,24 +21,27 @@
 
 
 class Deadlines(NamedTuple):
-    """Until when an answer is on time, and when its caller gives up, in seconds."""
+    """When an answer is no longer on time, and when the caller gives up.
+
+    Both are times of the event loop's clock, in seconds.
+    """
 
     target: float
     deadline: float
 
 
-# A flow that opened before its agent was restarted: taken for one of the middle, so
-# that it neither pushes in nor starves.
+# Used for flows that opened before their agent restarted. The middle priority neither
+# delays other requests nor starves these.
 DEFAULT_URGENCY = Urgency(1, 200, 2000)
 
 
 def request_deadlines(urgency: Urgency, now: float, *, is_first: bool) -> Deadlines:
-    """Return the times of a request that has come now.
+    """Return the deadlines of a request that has arrived now.
 
     Args:
-        urgency: Of its flow.
-        now: The loop's time.
-        is_first: Whether it is the first of its flow.
+        urgency: Urgency of the request's flow.
+        now: Time of the event loop's clock.
+        is_first: Whether the request is the first of its flow.
     """
     waited = urgency.waited_milliseconds if is_first else 0
     target = now + (urgency.target_milliseconds - waited) / MILLISECONDS
--- a/tests/test_passthrough_dead_flows.py
+++ b/tests/test_passthrough_dead_flows.py
@@ -56,7 +56,7 @@
     owner = owner_of(world, client)
     world.lost = lambda source, target, data: owner in (source[0], target[0])
     for agent in world.agents.values():
-        agent.directory.entries.clear()
+        agent.owner_records.entries.clear()
     world.move(client, over=BALANCERS[1])
     client.request()
     world.run(1.0)
@@ -101,7 +101,7 @@
     owner = owner_of(world, client)
     world.remove(owner)
     for agent in world.agents.values():
-        agent.directory.entries.clear()
+        agent.owner_records.entries.clear()
     world.run(3.0)
     world.move(client, over=BALANCERS[1])
     client.request()
@@ -192,7 +192,7 @@
     restarted.members = Members()
     restarted.members.tell(world.members[other])
     restarted.members_changed(world.now)
-    world.agents[other].directory.entries.clear()
+    world.agents[other].owner_records.entries.clear()
     world.move(client, over=BALANCERS[1])
     client.request()
     world.run(0.5)
--- a/tests/test_passthrough_faults.py
+++ b/tests/test_passthrough_faults.py
@@ -142,7 +142,7 @@
     for balancer in world.balancers.values():
         balancer.owners.owners.clear()
     for agent in world.agents.values():
-        agent.directory.entries.clear()
+        agent.owner_records.entries.clear()
 
 
 def test_a_balancer_that_hears_few_agents_takes_no_flow_for_dead(world):
--- a/tests/test_passthrough_flows.py
+++ b/tests/test_passthrough_flows.py
@@ -1,4 +1,4 @@
-"""Open flows through placing, moves, restarts and losses, in virtual time."""
+"""Open flows through placement, moves, restarts and packet loss, in virtual time."""
 
 import pytest
 
@@ -28,10 +28,10 @@
 
 
 def test_a_flow_that_moves_to_another_balancer_keeps_its_endpoint(world):
-    """The caller's flow goes on without a pause it would notice.
+    """A flow that moves to another balancer keeps its endpoint, without a long pause.
 
-    The routers hand it to another balancer, as they do when one joins; that balancer
-    knows nothing of the flow and asks its home, which recorded the owner.
+    Routers move flows when a balancer joins. The new balancer doesn't know the flow and
+    asks a home, which has recorded the owner.
     """
     client = world.open_flow(over=BALANCERS[0])
     world.run(0.2)
@@ -45,17 +45,18 @@
 
 
 def test_a_flow_survives_its_homes(world):
-    """The caller sees one answer that is late by a repeat at most.
+    """A flow survives the loss of both owner records.
 
-    Both agents that record the owner lose their memory, then the flow moves to another
-    balancer. All agents are asked, and the one that owns the flow takes the packet.
+    Both home agents lose their records, then the flow moves to another balancer. It
+    asks all agents, and the owner accepts the packet. The answer is late by one
+    retransmission at most.
     """
     client = world.open_flow(over=BALANCERS[0])
     world.run(0.2)
     owner = owner_of(world, client)
     for address, agent in world.agents.items():
         if address != owner:
-            agent.directory.entries.clear()
+            agent.owner_records.entries.clear()
     world.move(client, over=BALANCERS[1])
     client.request()
     world.run(0.3)
@@ -63,9 +64,9 @@
 
 
 def test_a_flow_survives_a_restart_of_its_agent(world):
-    """The caller's flow goes on while the agent beside its endpoint is restarted.
+    """A flow survives a restart of its agent.
 
-    The new process knows no flow. It hands packets that it doesn't know to the
+    The new process knows no flows. It forwards packets of unknown flows to the
     endpoint, which still holds the flow and answers.
     """
     client = world.open_flow(over=BALANCERS[0])
@@ -79,10 +80,10 @@
 
 
 def test_open_flows_stay_when_the_split_changes(world):
-    """The caller's flow stays at its endpoint while new flows go to another service.
+    """An open flow stays at its endpoint when new flows go to another service.
 
-    The operator moves all weight to the other service, then the flow moves to another
-    balancer, which knows only the new split.
+    The traffic split moves to the other service, then the flow moves to a balancer that
+    knows only the new split.
     """
     client = world.open_flow(over=BALANCERS[0])
     world.run(0.2)
@@ -99,35 +100,35 @@
 
 
 def test_a_flow_that_opened_at_the_second_endpoint_is_found_there(world):
-    """The caller's flow goes on after its packets move to another balancer.
+    """A flow is found although its homes name the wrong owner.
 
-    Its first packet reached one endpoint, whose answer was lost on the way; the repeat
-    opened the flow at another endpoint. The first one's word to the homes came last, so
-    they name the wrong owner, whose endpoint sends the packet back each time.
+    The answer of the first endpoint was lost, and the retransmitted first packet opened
+    the flow at a second one. The first one's owner record reached the homes last, so
+    they name an endpoint that bounces the flow's packets.
     """
     first = world.balancers[BALANCERS[0]]
-    losing = True
+    is_losing = True
 
-    def lost(source, target, data):
+    def is_lost(source, target, data):
         to_client = target[0] == "100.64.0.7"
         to_balancer = target == (BALANCERS[0], INTERNAL_PORT)
-        told = to_balancer and data[0] == messages.OWNED
-        return losing and (to_client or told)
+        names_owner = to_balancer and data[0] == messages.OWNED
+        return is_losing and (to_client or names_owner)
 
-    world.lost = lost
+    world.lost = is_lost
     client = world.open_flow(over=BALANCERS[0])
     world.run(0.1)
-    (wrong,) = first.openings.by_flow.values()
-    wrong_owner = wrong.owner
-    losing = False
+    (first_opening,) = first.openings.by_flow.values()
+    wrong_owner = first_opening.owner
+    is_losing = False
     world.run(0.3)
     assert client.events == ["open", "answer"]
     owner = owner_of(world, client)
     assert owner != wrong_owner
     for agent in world.agents.values():
-        for flow in list(agent.directory.entries):
-            number = world.agents[wrong_owner].own_address
-            agent.directory.put(flow, number, world.now)
+        for flow in list(agent.owner_records.entries):
+            wrong_address = world.agents[wrong_owner].own_address
+            agent.owner_records.put(flow, wrong_address, world.now)
     world.move(client, over=BALANCERS[1])
     client.request()
     world.run(0.3)
--- a/tests/test_passthrough_waiting.py
+++ b/tests/test_passthrough_waiting.py
@@ -1,4 +1,4 @@
-"""The line of requests before a full endpoint."""
+"""The queue of requests in front of an endpoint without free slots."""
 
 from cornelspan_passthrough.flows import FlowTable
 from cornelspan_passthrough.packet_headers import ACK, PacketHeader
@@ -35,10 +35,10 @@
 
 
 def test_what_is_late_already_lets_those_pass_that_are_not():
-    """Callers who come after an outage get their answers on time.
+    """Requests that arrive after an outage are answered on time.
 
-    Two requests of the outage's backlog are late whatever happens. By age they would
-    go first, and the two that have just come would be late as well.
+    Two requests of the outage's backlog are late in any case. In the order of age they
+    would run first and make the two new ones late as well.
     """
     queue = RequestQueue()
     queue.push(1, queued(2, 2.0, target=0.9), b"a", 1)
@@ -87,10 +87,11 @@
 
 
 def test_a_crowd_is_served_without_being_shed():
-    """Callers of a crowd get their answers, all of them within their time budget.
+    """All callers of a burst get their answers within their time budgets.
 
-    Forty flows open at one endpoint of two slots and a short queue. It sheds what it
-    can neither run nor queue; the agent holds their requests until there is room.
+    Forty flows open at one endpoint with two slots and a short queue. It would shed
+    what it can neither run nor queue, so the agent queues requests until a slot is
+    free.
     """
     world = PacketWorld(seed=1)
     world.add_agent(AGENT, "orders")
@@ -105,11 +106,11 @@
 
 
 def test_requests_that_are_never_answered_do_not_stop_the_line():
-    """Callers after a few unlucky ones get their answers within a second.
+    """Requests that are never answered do not block the queue.
 
-    The endpoint says nothing to its first requests, as grey ones do, or their clients
-    have gone. Counted as running for good, they would take up all its room and every
-    later request would wait until it is dropped.
+    The endpoint ignores its first three requests, or their clients are gone. If they
+    counted as running for ever, they would use all slots, and every later request would
+    wait until it expires.
     """
     world = PacketWorld(seed=1)
     world.add_agent(AGENT, "orders")
@@ -117,16 +118,16 @@
     endpoint.mute = 3
     world.add_balancer(BALANCER)
     world.run(1.0)
-    unlucky = [world.open_flow(over=BALANCER) for _ in range(3)]
+    first_clients = [world.open_flow(over=BALANCER) for _ in range(3)]
     world.run(0.05)
-    assert all(client.events == ["open"] for client in unlucky)
+    assert all(client.events == ["open"] for client in first_clients)
     clients = [world.open_flow(over=BALANCER) for _ in range(10)]
     world.run(1.0)
     assert all(client.events == ["open", "answer"] for client in clients)
 
 
 def test_a_flow_that_turns_out_foreign_makes_room():
-    """The next request goes out as soon as the endpoint has sent a packet back."""
+    """A slot is free as soon as the endpoint has bounced the packet that used it."""
     world = PacketWorld(seed=1)
     world.add_agent(AGENT, "orders")
     endpoint = world.endpoints[AGENT]
@@ -149,10 +150,11 @@
 
 
 def test_a_request_that_the_endpoint_has_had_before_fills_no_slot():
-    """Callers after a restart of all daemons don't wait behind requests that have run.
+    """Retransmitted requests that have already run use no slot after a restart.
 
-    Answers were lost with the daemons. Clients repeat their requests; the endpoint
-    acknowledges them, does nothing, and sends its answers again by its own clock.
+    All daemons restart and lose answers, so clients retransmit their requests. The
+    endpoint acknowledges them, runs nothing, and retransmits its answers on its own
+    timer.
     """
     table = FlowTable(flow_seconds=60.0)
     owned = table.start(1, "", (0, 0), 0.0)
@@ -165,11 +167,11 @@
 
 
 def test_an_acknowledged_request_still_runs():
-    """Orders keep their place before what is less urgent.
+    """A request keeps its slot when the endpoint acknowledges it before the answer.
 
-    Ends acknowledge every second packet, so each second request of a flow is
-    acknowledged before it is answered. Taken for done, it let more go to the endpoint
-    than it has slots for, and the rest was shed.
+    Ends acknowledge every second packet, so every second request of a flow is
+    acknowledged first. If it counted as done, the endpoint would get more requests than
+    it has slots and shed some.
     """
     table = FlowTable(flow_seconds=60.0)
     owned = table.start(1, "", (0, 0), 0.0)
@@ -192,10 +194,10 @@
 
 
 def test_an_answer_that_comes_before_the_repeat_of_its_request():
-    """Callers after a restart don't wait behind a request that was answered already.
+    """A request that was answered before a restart uses no slot after it.
 
-    The endpoint sends a lost answer again just before its client's repeat comes, which
-    it then only acknowledges.
+    The endpoint retransmits the lost answer just before the client retransmits the
+    request, which the endpoint then only acknowledges.
     """
     table = FlowTable(flow_seconds=60.0)
     owned = table.start(1, "", (0, 0), 0.0)
