--- a/tests/passthrough_world.py
+++ b/tests/passthrough_world.py
@@ -1,4 +1,4 @@
-"""A deployment of pass-through daemons that tests of several subjects share."""
+"""A deployment of pass-through daemons that several test modules share."""
 
 from cornelspan_standins.packet_world import PacketWorld
 
@@ -8,7 +8,7 @@
 
 
 def small_world():
-    """Return two balancers, three agents of orders and two of receipts, at work."""
+    """Return two balancers, three agents of orders and two of receipts, started."""
     world = PacketWorld(seed=1)
     for address in ORDERS:
         world.add_agent(address, "orders")
--- a/tests/test_passthrough_early.py
+++ b/tests/test_passthrough_early.py
@@ -1,4 +1,4 @@
-"""A daemon serves packets, and takes calls, before all of it is imported."""
+"""A daemon serves packets and accepts connections while it is still importing."""
 
 import asyncio
 import socket
@@ -15,19 +15,19 @@
 
 WAIT = """
 import builtins
-builtins.may_go_on.wait()
+builtins.import_may_finish.wait()
 value = 7
 """
 
 
 @pytest.fixture
 def slow_module(tmp_path, monkeypatch):
-    """Return the name of a module whose import waits, and the event that ends it."""
-    may_go_on = threading.Event()
-    monkeypatch.setattr("builtins.may_go_on", may_go_on, raising=False)
+    """Return the name of a module whose import blocks, and its unblocking event."""
+    import_may_finish = threading.Event()
+    monkeypatch.setattr("builtins.import_may_finish", import_may_finish, raising=False)
     monkeypatch.syspath_prepend(tmp_path)
     (tmp_path / "slow_part.py").write_text(WAIT)
-    yield "slow_part", may_go_on
+    yield "slow_part", import_may_finish
     sys.modules.pop("slow_part", None)
 
 
@@ -37,18 +37,18 @@
 
 
 def serve_packets(slow_module, address, packets, received=lambda data: None):
-    """Send packets to a daemon that starts; return what it got, and the module.
+    """Send packets to a daemon that is starting; return those it got, and the module.
 
-    The import of the module goes on when all have been handed on.
+    The import of the module finishes once all packets have been received.
     """
-    name, may_go_on = slow_module
+    name, import_may_finish = slow_module
     seen = []
     with datagram_socket(address) as opened:
 
         def take(data, sender):
             seen.append(data)
             if len(seen) == len(packets):
-                may_go_on.set()
+                import_may_finish.set()
             received(data)
 
         opened.on_datagram = take
@@ -59,10 +59,10 @@
 
 
 def test_packets_are_served_while_a_module_is_imported(slow_module, base_port):
-    """A client's packet is answered though its agent is still starting.
+    """A client's packet is answered while its agent is still starting.
 
-    The module waits until the packet has been handed on; served only afterwards, it
-    would never come to an end.
+    The import blocks until the packet has been received. If packets were served only
+    after the import, the test would hang.
     """
     address = ("127.0.0.1", base_port)
     seen, module = serve_packets(slow_module, address, [b"packet"])
@@ -83,13 +83,13 @@
 
 
 def test_time_passes_while_a_module_is_imported(slow_module):
-    name, may_go_on = slow_module
+    name, import_may_finish = slow_module
     ticks = []
 
     def tick(now):
         ticks.append(now)
         if len(ticks) == 3:
-            may_go_on.set()
+            import_may_finish.set()
 
     import_while_serving(name, [], tick)
     assert ticks == sorted(ticks)
@@ -101,10 +101,11 @@
 
 
 async def test_a_call_from_before_the_server_is_answered_by_it(base_port):
-    """An endpoint's first report is acknowledged though it came too early.
+    """An endpoint's first report is acknowledged although it arrives too early.
 
-    It connects while its agent still imports what answers. Refused, it would try again
-    later, and its slots would be unknown until then.
+    The endpoint connects while its agent is still importing the HTTP server. If the
+    connection were refused, the endpoint would retry later, and its slots would be
+    unknown until then.
     """
     address = ("127.0.0.1", base_port)
     with listening_socket(address) as listener:
--- a/tests/test_passthrough_endpoint.py
+++ b/tests/test_passthrough_endpoint.py
@@ -1,4 +1,4 @@
-"""What an agent believes of its endpoint."""
+"""How an agent tracks its endpoint's state from reports and leave calls."""
 
 import pytest
 
@@ -7,9 +7,9 @@
 
 
 def report(
-    life="i-1", sequence=1, *, draining=False, service="orders", cold=0, born=None
+    name="i-1", sequence=1, *, draining=False, service="orders", cold=0, started=None
 ):
-    return Report(Incarnation(life, born), service, sequence, 2, draining, cold)
+    return Report(Incarnation(name, started), service, sequence, 2, draining, cold)
 
 
 @pytest.fixture
@@ -18,10 +18,10 @@
 
 
 def test_a_late_report_of_an_ended_life_is_left_out(endpoint):
-    """Flows of the endpoint's new life are not given up.
+    """A delayed report of an ended incarnation does not end its successor.
 
-    The old life's report was held up by a partition and arrives after the new life's
-    first. Taken in, it would end the new life.
+    A partition delays the report until after the successor's first one. If it were
+    accepted, the successor's flows would be reset.
     """
     endpoint.receive_report(report("i-1", 7), 0.0)
     assert (
@@ -32,10 +32,10 @@
 
 
 def test_several_late_reports_do_not_bring_an_ended_life_back(endpoint):
-    """Flows of the endpoint's new life are not given up.
+    """Several delayed reports of an ended incarnation do not end its successor.
 
-    A partition held up more than one report of the old life. They arrive one after the
-    other while the new life reports in time, so the old one can't be alive.
+    A partition delays more than one report. They arrive one after the other while the
+    successor reports on time, so the ended incarnation can't be running.
     """
     endpoint.receive_report(report("i-1", 7), 0.0)
     endpoint.receive_report(report("i-2", 1), 1.0)
@@ -79,10 +79,10 @@
 
 
 def test_a_stray_report_of_another_service_ends_no_flow(endpoint):
-    """Open flows go on, and new ones come again after the endpoint's next report.
+    """A report of another service ends no flow and stops new ones only briefly.
 
-    Somebody else's report arrives at the agent. Taken for a new life, it would end the
-    sound endpoint's flows; the sound one reports again and is believed.
+    If the report counted as a new incarnation, the healthy endpoint's flows would be
+    reset. New flows resume with the next report of the right service.
     """
     endpoint.receive_report(report(), 0.0)
     assert (
@@ -95,36 +95,37 @@
 
 
 def test_a_late_report_of_the_address_s_service_of_before_is_left_out(endpoint):
-    """New flows come to an address that another service has taken over.
+    """A delayed report of the address's previous service is ignored.
 
-    The endpoint of before had the same name and began earlier; its report was held up
-    on the way. The present endpoint is not doubted for it.
+    The previous endpoint had the same name and started earlier. Its report arrives
+    after the address has moved to another service, which must still get new flows.
     """
-    endpoint.receive_report(report(born=5000), 0.0)
-    late = report(sequence=9, service="receipts", born=1000)
+    endpoint.receive_report(report(started=5000), 0.0)
+    late = report(sequence=9, service="receipts", started=1000)
     assert endpoint.receive_report(late, 0.1) is ReportOutcome.STALE
     assert endpoint.announced_state == READY
 
 
 def test_a_restart_under_the_same_name_is_a_new_life(endpoint):
-    """Flows of before are told dead, and the new life's word to leave is obeyed.
+    """An endpoint that restarts under the same name is a new incarnation.
 
-    The endpoint crashes and is back under its name, its reports numbered from 1 anew.
-    Taken for repeats, they would be acknowledged and change nothing.
+    Its sequence numbers start from 1 again. If its reports counted as repeats, they
+    would be acknowledged without effect: old flows would not be reset, and a draining
+    state would be ignored.
     """
-    endpoint.receive_report(report(sequence=40, born=1000), 0.0)
+    endpoint.receive_report(report(sequence=40, started=1000), 0.0)
     assert (
-        endpoint.receive_report(report(sequence=1, born=2000), 1.0)
+        endpoint.receive_report(report(sequence=1, started=2000), 1.0)
         is ReportOutcome.NEW_INCARNATION
     )
-    endpoint.receive_report(report(sequence=2, draining=True, born=2000), 2.0)
+    endpoint.receive_report(report(sequence=2, draining=True, started=2000), 2.0)
     assert endpoint.state == DRAINING
 
 
 def test_a_restart_while_it_drains_takes_flows_again(endpoint):
-    endpoint.receive_report(report(sequence=40, draining=True, born=1000), 0.0)
+    endpoint.receive_report(report(sequence=40, draining=True, started=1000), 0.0)
     assert (
-        endpoint.receive_report(report(sequence=1, born=2000), 1.0)
+        endpoint.receive_report(report(sequence=1, started=2000), 1.0)
         is ReportOutcome.NEW_INCARNATION
     )
     assert endpoint.state == READY
@@ -132,54 +133,55 @@
 
 @pytest.mark.parametrize("late_name", ["i-1", "i-0"])
 def test_an_earlier_life_s_late_report_changes_nothing(endpoint, late_name):
-    """Flows of the endpoint's present life go on.
+    """A delayed report of an earlier incarnation does not affect the current one.
 
-    The agent was restarted, so it knows of no earlier life. A report of one arrives
-    after the present life's: it began before, whatever its name and number.
+    The agent has restarted, so it has not seen the earlier incarnation. The start time
+    shows that the report is older, whatever its name and sequence number.
     """
-    endpoint.receive_report(report("i-1", 3, born=2000), 0.0)
-    late = report(late_name, 60, draining=True, born=1000)
+    endpoint.receive_report(report("i-1", 3, started=2000), 0.0)
+    late = report(late_name, 60, draining=True, started=1000)
     assert endpoint.receive_report(late, 0.1) is ReportOutcome.STALE
     assert endpoint.incarnation == Incarnation("i-1", 2000)
     assert endpoint.state == READY
 
 
 def test_a_life_whose_clock_was_set_back_is_believed_in_the_end(endpoint):
-    """An endpoint gets flows though it says that it began before its predecessor.
+    """An endpoint gets flows although it seems to have started before its predecessor.
 
-    Its VM's clock was set back between the two. The one before reports no more, so the
-    second report of the new one is taken.
+    Its VM's clock was set back between the two starts. The predecessor no longer
+    reports, so the second report of the new incarnation is accepted.
     """
-    endpoint.receive_report(report("i-1", 3, born=9000), 0.0)
+    endpoint.receive_report(report("i-1", 3, started=9000), 0.0)
     assert (
-        endpoint.receive_report(report("i-2", 1, born=5000), 1.0) is ReportOutcome.STALE
+        endpoint.receive_report(report("i-2", 1, started=5000), 1.0)
+        is ReportOutcome.STALE
     )
     assert (
-        endpoint.receive_report(report("i-2", 2, born=5000), 2.0)
+        endpoint.receive_report(report("i-2", 2, started=5000), 2.0)
         is ReportOutcome.NEW_INCARNATION
     )
     assert endpoint.incarnation == Incarnation("i-2", 5000)
 
 
 def test_a_report_without_a_start_is_no_report_of_a_life_that_tells_it(endpoint):
-    endpoint.receive_report(report(sequence=3, born=1000), 0.0)
+    endpoint.receive_report(report(sequence=3, started=1000), 0.0)
     assert endpoint.receive_report(report(sequence=9), 0.1) is ReportOutcome.STALE
     assert endpoint.sequence == 3
 
 
 def test_an_earlier_life_s_word_that_it_goes_ends_no_other(endpoint):
-    """Flows go on though an earlier life of the same name says that it goes.
+    """A delayed leave call of an earlier incarnation ends no flow.
 
-    Its last call was held up on the way. One that doesn't say which life it ends only
-    has the port looked at.
+    The earlier incarnation had the same name. A call without a start time could be of
+    either, and only causes a probe of the endpoint's port.
     """
-    endpoint.receive_report(report(born=2000), 0.0)
+    endpoint.receive_report(report(started=2000), 0.0)
     assert not endpoint.leave(Incarnation("i-1", 1000))
     assert not endpoint.is_overdue(0.1)
     assert not endpoint.leave(Incarnation("i-1"))
     assert endpoint.state == READY
     assert endpoint.is_overdue(0.1)
-    endpoint.receive_report(report(sequence=2, born=2000), 0.2)
+    endpoint.receive_report(report(sequence=2, started=2000), 0.2)
     assert not endpoint.is_overdue(0.3)
 
 
@@ -193,9 +195,9 @@
 
 
 def test_reports_of_strangers_take_no_memory(endpoint):
-    endpoint.receive_report(report(born=10_000), 0.0)
+    endpoint.receive_report(report(started=10_000), 0.0)
     for number in range(1000):
-        endpoint.receive_report(report(f"x-{number}", born=1), 0.1)
+        endpoint.receive_report(report(f"x-{number}", started=1), 0.1)
     assert len(endpoint.ended) <= 64
 
 
@@ -207,10 +209,10 @@
 
 
 def test_a_first_report_is_missed_soon(endpoint):
-    """A search for a flow does not wait for an endpoint that is gone.
+    """An agent that starts without an endpoint notices that soon.
 
-    The agent was restarted beside no endpoint at all; it looks for one after part of an
-    interval, and finds the port closed.
+    It probes the endpoint after part of a report interval and finds the port closed.
+    Until then, a search for a flow would wait for this endpoint.
     """
     assert not endpoint.is_overdue(0.2)
     assert endpoint.is_overdue(0.4)
--- a/tests/test_passthrough_judging.py
+++ b/tests/test_passthrough_judging.py
@@ -1,4 +1,4 @@
-"""Endpoints that say they are well and fail what they are sent."""
+"""Ejection of endpoints that pass health checks but fail requests."""
 
 import pytest
 
@@ -23,8 +23,8 @@
     return world
 
 
-def crowd(world, seconds, per_second=60):
-    """Open flows one after the other; return them."""
+def open_flows(world, seconds, per_second=60):
+    """Open flows at a constant rate; return their clients."""
     clients = []
     for number in range(round(seconds * per_second)):
         clients.append(world.open_flow(over=BALANCERS[number % 2]))
@@ -33,67 +33,68 @@
     return clients
 
 
-def failed(clients):
+def unanswered(clients):
     return [client for client in clients if "answer" not in client.events]
 
 
 def test_an_endpoint_that_resets_its_requests_gets_no_new_flows(world):
-    """A few callers see a reset instead of one in two.
+    """Few callers see a reset, instead of every second one.
 
-    One endpoint of six accepts flows and resets each when its request comes. As it is
+    One endpoint of six accepts flows and resets each when its request arrives. As it is
     always idle, it would be chosen for most new flows.
     """
     world.endpoints[AGENTS[0]].resets = True
-    clients = crowd(world, 3.0)
-    assert 1 <= len(failed(clients)) <= 8
+    clients = open_flows(world, 3.0)
+    assert 1 <= len(unanswered(clients)) <= 8
 
 
 def test_an_endpoint_that_never_answers_gets_no_new_flows(world):
-    """A few callers wait in vain instead of a sixth of them.
+    """Few callers get no answer, instead of a sixth of them.
 
-    The endpoint takes up every request and says nothing more. Its agent counts them as
-    lost after many times the usual, three in a row.
+    One endpoint of six accepts every request and never answers. Its agent counts the
+    requests as lost after a multiple of the mean response time, and ejects it after
+    three in a row.
     """
     world.endpoints[AGENTS[0]].mute = 1_000_000
-    crowd(world, 1.0)
+    open_flows(world, 1.0)
     assert (
         world.agents[AGENTS[0]].outlier_detector.standing(world.now) is not Standing.IN
     )
     taken = world.endpoints[AGENTS[0]].opened
-    clients = crowd(world, 2.0)
+    clients = open_flows(world, 2.0)
     assert world.endpoints[AGENTS[0]].opened - taken <= 4
-    assert len(failed(clients)) <= 4
+    assert len(unanswered(clients)) <= 4
 
 
 def test_an_endpoint_that_recovers_is_taken_back_by_one_request(world):
-    """New flows come back within a few seconds, after one good answer."""
+    """An endpoint that recovers gets new flows within seconds, after one answer."""
     endpoint = world.endpoints[AGENTS[0]]
     endpoint.resets = True
-    crowd(world, 1.0)
+    open_flows(world, 1.0)
     endpoint.resets = False
-    crowd(world, 3.0)
+    open_flows(world, 3.0)
     assert world.agents[AGENTS[0]].outlier_detector.standing(world.now) is Standing.IN
     opened = endpoint.opened
-    assert failed(crowd(world, 1.0)) == []
+    assert unanswered(open_flows(world, 1.0)) == []
     assert endpoint.opened > opened
 
 
 def test_a_probed_endpoint_gets_one_flow_at_a_time(world):
-    """One caller at a time meets an endpoint that may still fail."""
+    """Only one caller at a time reaches an endpoint that may still fail."""
     endpoint = world.endpoints[AGENTS[0]]
     endpoint.resets = True
-    crowd(world, 1.0)
+    open_flows(world, 1.0)
     agent = world.agents[AGENTS[0]]
     world.run(max(0.0, agent.outlier_detector.ejected_until - world.now))
     clients = [world.open_flow(over=BALANCERS[0]) for _ in range(6)]
     world.run(0.3)
-    assert len(failed(clients)) <= 1
+    assert len(unanswered(clients)) <= 1
 
 
 def test_a_new_life_of_an_endpoint_is_not_judged_by_the_old_one(world):
     endpoint = world.endpoints[AGENTS[0]]
     endpoint.resets = True
-    crowd(world, 1.0)
+    open_flows(world, 1.0)
     endpoint.resets = False
     endpoint.crash()
     endpoint.start(cold_until=0.0)
@@ -110,7 +111,7 @@
 
 
 def test_ejected_endpoints_come_last_but_not_if_too_many_are(world):
-    """With half of a service said to fail, the rest is not given all of its load."""
+    """With too many endpoints ejected, the rest does not get the whole load."""
     some, many = round(EJECTED_SHARE * 6), round(EJECTED_SHARE * 6) + 1
     few = {choose(candidates(some), world.chance, 0.0) for _ in range(200)}
     assert few == {str(number) for number in range(some, 6)}
