--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
@@ -9,8 +9,8 @@
 # was never sent.
 MISSING_REPORT_INTERVALS = 1.8
 # An ended incarnation is accepted again after this many reports, provided that its
-# successor has stopped reporting. One report is not enough: several reports of an ended
-# incarnation may have been delayed by the network.
+# successor has stopped reporting. The count alone does not prove that it is running,
+# because the network may have delayed several of its reports.
 RESUME_REPORTS = 2
 # An agent that has just started probes the endpoint if no report arrives within this
 # part of an interval. Without the probe, an agent whose endpoint is gone would never
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
@@ -61,7 +61,8 @@
     agents that record its owner. ``urgency`` is that of its route when the flow opened.
     ``accepted`` is set once the endpoint has answered the first packet. ``established``
     is set once the endpoint has sent anything after that answer, so that it certainly
-    holds the flow. ``acknowledged`` is the client's latest acknowledgement number.
+    holds the flow. ``ended`` is set once client or endpoint has closed it.
+    ``acknowledged`` is the client's latest acknowledgement number.
 
     ``request_started_at`` is when the current request was sent, ``NO_REQUEST`` for
     none. ``sent_up_to`` is the sequence number after the last byte sent to the
@@ -221,7 +222,8 @@
         """Stop counting requests that have run so long that no answer is expected.
 
         Returns:
-            The number of dropped requests on flows that are not learned ones.
+            How many of them are failures of the endpoint. Requests on learned flows are
+                left out, because they may have run before this process started.
         """
         multiple_of_mean = LOST_REQUEST_FACTOR * self.response_seconds
         limit = max(LOST_REQUEST_SECONDS, multiple_of_mean)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/homes.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/homes.py
@@ -16,8 +16,8 @@
 # asked, so a third copy would save little and cost one more datagram for each new flow.
 REPLICAS = 2
 # Agents are ranked once for each shard and membership, not for each flow, because
-# ranking takes about a microsecond for each agent. 16,384 shards over 3,500 agents are
-# close to five for each agent.
+# ranking takes about a microsecond for each agent. 16,384 shards make almost five for
+# each of 3,500 agents.
 SHARDS = 16_384
 
 
