--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -270,7 +270,7 @@
                 members,
                 hello=state.hello,
                 announcement=state.announcement,
-                renew=state.renew,
+                on_new_incarnation=state.renew,
                 on_members=state.link_peers,
                 tls=tls.client,
             ) as state.control,
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
@@ -193,7 +193,7 @@
                 members,
                 hello=state.hello,
                 announcement=state.announcement,
-                renew=state.renew,
+                on_new_incarnation=state.renew,
                 on_members=state.link_agents,
                 tls=tls.client,
             ) as state.control,
@@ -205,7 +205,7 @@
                 tls=tls.server,
             ) as state.server,
         ):
-            state.control.plane.collect = state.levels.take
+            state.control.plane.collect_counts = state.levels.take
             tasks.start(state.levels.run(state.control.plane), name="service levels")
             tasks.start(state.join(), name="join the fabrics")
             tasks.start(reload_tls(tls), name="reload TLS files")
--- a/packages/cornelspan-control/src/cornelspan_control/asking.py
+++ b/packages/cornelspan-control/src/cornelspan_control/asking.py
@@ -12,8 +12,8 @@
 from cornelspan_common.packets import Hello
 from cornelspan_common.settings import Address, ClientSettings
 from cornelspan_common.streams import PROTOCOL, batches, open_peer
-from cornelspan_control.election import elect
 from cornelspan_control.members import Members
+from cornelspan_control.relay_selection import select_relays
 from cornelspan_control.roster import MEMBERS, Roster
 from cornelspan_control.store import StoreClient
 
@@ -114,7 +114,7 @@
 ) -> Result[Status, StreamError]:
     """Ask the relays of a data centre one after the other until one answers."""
     answer: Result[Status, StreamError] = Err(StreamError(datacentre, "no relay"))
-    for relay in elect(members, datacentre):
+    for relay in select_relays(members, datacentre):
         member = members.known[relay]
         address = Address(host=member.host, port=member.port)
         answer = await _ask_named(settings, client, address, name)
--- a/packages/cornelspan-control/src/cornelspan_control/control_plane.py
+++ b/packages/cornelspan-control/src/cornelspan_control/control_plane.py
@@ -16,13 +16,13 @@
 from cornelspan_common.streams import Peer
 from cornelspan_common.tasks import task_group
 from cornelspan_control.configuration import Configuration
+from cornelspan_control.failure_detection import FailureDetector
 from cornelspan_control.members import Members
-from cornelspan_control.plane import Listener, Plane
+from cornelspan_control.plane import Callback, Plane
 from cornelspan_control.relay_links import RelayLinks
 from cornelspan_control.roster import Publisher, read_rosters
 from cornelspan_control.store import StoreClient
-from cornelspan_control.subscribers import beat_to_subscribers, serve_subscriber
-from cornelspan_control.suspicion import Judge
+from cornelspan_control.subscribers import send_heartbeats, serve_subscriber
 from cornelspan_control.watching import fall_back, watch_store
 
 
@@ -31,13 +31,13 @@
     """The running parts of the control plane in one daemon."""
 
     plane: Plane
-    judge: Judge
+    detector: FailureDetector
     relays: RelayLinks
     publisher: Publisher
 
     async def serve(self, peer: Peer) -> None:
         """Serve one process that has connected here."""
-        await serve_subscriber(self.plane, self.judge, peer)
+        await serve_subscriber(self.plane, self.detector, peer)
 
     def announce(self) -> None:
         """Say anew what this daemon is, after its announcement has changed."""
@@ -46,8 +46,8 @@
     def leave(self) -> None:
         """Say that this daemon's life ends now, in order."""
         gone = Gone(self.plane.name, self.plane.incarnation)
-        self.plane.tell_relays(gone)
-        self.plane.tell_all(gone)
+        self.plane.send_to_relays(gone)
+        self.plane.broadcast(gone)
 
 
 @asynccontextmanager
@@ -58,9 +58,9 @@
     *,
     hello: Hello,
     announcement: Callable[[], Announce],
-    renew: Callable[[int], None],
-    on_members: Listener = lambda: None,
-    on_configuration: Listener = lambda: None,
+    on_new_incarnation: Callable[[int], None],
+    on_members: Callback = lambda: None,
+    on_configuration: Callback = lambda: None,
     tls: ssl.SSLContext | None = None,
     seed: int | None = None,
 ) -> AsyncIterator[Control]:
@@ -88,23 +88,23 @@
             tasks,
             store,
             announcement,
-            renew,
+            on_new_incarnation,
             on_members,
             on_configuration,
             tls,
         )
         members.announce(announcement())
-        control = _assemble(plane)
+        control = _build(plane)
         _start(control)
         yield control
     store.close()
 
 
-def _assemble(plane: Plane) -> Control:
-    judge = Judge(plane)
-    relays = RelayLinks(plane, judge)
-    plane.tell_relays = relays.tell
-    return Control(plane, judge, relays, Publisher(plane))
+def _build(plane: Plane) -> Control:
+    detector = FailureDetector(plane)
+    relays = RelayLinks(plane, detector)
+    plane.send_to_relays = relays.send
+    return Control(plane, detector, relays, Publisher(plane))
 
 
 def _start(control: Control) -> None:
@@ -112,11 +112,11 @@
     plane, tasks = control.plane, control.plane.tasks
     relays = control.relays
     tasks.start(relays.run(), name="follow relays")
-    tasks.start(relays.meet(), name="meet seeds")
+    tasks.start(relays.contact_seeds(), name="meet seeds")
     tasks.start(fall_back(plane, lambda: relays.connected), name="fall back")
     tasks.start(read_rosters(plane), name="read members")
     if plane.announcement().role == "balancer":
         tasks.start(watch_store(plane), name="watch store")
-        tasks.start(control.judge.run(), name="judge")
+        tasks.start(control.detector.run(), name="judge")
         tasks.start(control.publisher.run(), name="publish members")
-        tasks.start(beat_to_subscribers(plane), name="beat to subscribers")
+        tasks.start(send_heartbeats(plane), name="beat to subscribers")
--- a/packages/cornelspan-control/src/cornelspan_control/dispatch.py
+++ b/packages/cornelspan-control/src/cornelspan_control/dispatch.py
@@ -17,34 +17,36 @@
 from cornelspan_common.packets import Message
 from cornelspan_common.service_levels import Sealed, ServiceCounts
 from cornelspan_common.streams import Peer
+from cornelspan_control.failure_detection import FailureDetector, answer_suspect
 from cornelspan_control.plane import Plane, Subscriber
 from cornelspan_control.status import status_of
-from cornelspan_control.suspicion import Judge, witness
 
 
-def take(plane: Plane, judge: Judge, peer: Peer, message: Message) -> None:
+def handle_message(
+    plane: Plane, detector: FailureDetector, peer: Peer, message: Message
+) -> None:
     """Act on one message; what doesn't belong here is counted as refused."""
     match message:
         case Heartbeat():
-            _take_heartbeat(plane, peer, message)
+            _handle_heartbeat(plane, peer, message)
         case Announce():
             plane.announce(message)
         case Subscribe():
-            _subscribe(plane, peer, message)
+            _handle_subscribe(plane, peer, message)
         case Membership():
-            plane.take_membership(message)
+            plane.apply_membership(message)
         case Gone():
             plane.remove(message, peer.hello.datacentre)
         case Revision():
-            _take_revision(plane, peer, message)
+            _handle_revision(plane, peer, message)
         case RevisionRequest():
             _send_newer(plane, peer, message.revision)
         case Suspect():
-            plane.tasks.start(witness(plane, peer, message), name="witness")
+            plane.tasks.start(answer_suspect(plane, peer, message), name="witness")
         case Verdict():
-            judge.answered(message)
-        case ServiceCounts() if plane.collect is not None:
-            peer.send(plane.collect(message, peer.hello.datacentre))
+            detector.receive_verdict(message)
+        case ServiceCounts() if plane.collect_counts is not None:
+            peer.send(plane.collect_counts(message, peer.hello.datacentre))
         case Sealed():
             plane.on_sealed(message.minute)
         case StatusRequest():
@@ -53,55 +55,64 @@
             peer.refused += 1
 
 
-def _take_heartbeat(plane: Plane, peer: Peer, beat: Heartbeat) -> None:
+def _handle_heartbeat(plane: Plane, peer: Peer, heartbeat: Heartbeat) -> None:
     """Note that a member lives; the one with the older revision is brought up."""
-    if beat.revision > plane.configuration.revision:
+    if heartbeat.revision > plane.configuration.revision:
         peer.send(RevisionRequest(plane.configuration.revision))
     if peer.hello.datacentre == plane.datacentre:
-        plane.epochs[plane.datacentre] = max(plane.epoch, beat.epoch)
-    if plane.members.is_alive(beat.name, beat.incarnation):
-        plane.heard[beat.name] = time.monotonic()
-        plane.reports[beat.name] = beat
+        plane.epochs[plane.datacentre] = max(plane.epoch, heartbeat.epoch)
+    if plane.members.is_alive(heartbeat.name, heartbeat.incarnation):
+        plane.last_heard[heartbeat.name] = time.monotonic()
+        plane.last_heartbeats[heartbeat.name] = heartbeat
         return
-    ended = plane.members.gone.get(beat.name, 0)
-    if beat.incarnation <= ended:
+    removed = plane.members.tombstones.get(heartbeat.name, 0)
+    if heartbeat.incarnation <= removed:
         # It was taken for dead and lives. Told so, it begins a new life and says so.
-        theirs = peer.hello.datacentre
-        news = Membership(
-            theirs, plane.epochs.get(theirs, 0), (), (Gone(beat.name, ended),)
+        sender_datacentre = peer.hello.datacentre
+        update = Membership(
+            sender_datacentre,
+            plane.epochs.get(sender_datacentre, 0),
+            (),
+            (Gone(heartbeat.name, removed),),
         )
-        peer.send(news)
+        peer.send(update)
 
 
-def _take_revision(plane: Plane, peer: Peer, revision: Revision) -> None:
-    if not plane.take_revision(revision):
+def _handle_revision(plane: Plane, peer: Peer, revision: Revision) -> None:
+    if not plane.apply_revision(revision):
         peer.send(RevisionRequest(plane.configuration.revision))
 
 
 def _send_newer(plane: Plane, peer: Peer, revision: int) -> None:
-    for message in plane.newer_than(revision):
+    for message in plane.updates_since(revision):
         peer.send(message)
 
 
-def _subscribe(plane: Plane, peer: Peer, wants: Subscribe) -> None:
+def _handle_subscribe(plane: Plane, peer: Peer, subscription: Subscribe) -> None:
     """Send what a new subscriber lacks, and all news from now on."""
-    theirs = peer.hello.datacentre
-    subscriber = Subscriber(peer, wants, theirs, tuple(plane.relays(theirs)))
+    sender_datacentre = peer.hello.datacentre
+    subscriber = Subscriber(
+        peer, subscription, sender_datacentre, tuple(plane.relays(sender_datacentre))
+    )
     plane.subscribers[peer] = subscriber
     # A stream that has just come is a sign of life; without this the end of the one
     # before it would have each member probed after its start.
-    plane.heard[wants.name] = time.monotonic()
-    equal = dict(wants.digests)
+    plane.last_heard[subscription.name] = time.monotonic()
+    digests = dict(subscription.digests)
     for datacentre in plane.members.datacentres():
-        if equal.get(datacentre) == plane.members.digest(datacentre):
+        if digests.get(datacentre) == plane.members.digest(datacentre):
             continue
         members = plane.members.of_datacentre(datacentre)
-        wanted = tuple(member for member in members if subscriber.wanted(member))
+        wanted = tuple(member for member in members if subscriber.wants(member))
         if wanted:
             epoch = plane.epochs.get(datacentre, 0)
             peer.send(Membership(datacentre, epoch, wanted, ()))
-    departed = plane.members.departed()
-    if departed:
-        peer.send(Membership(theirs, plane.epochs.get(theirs, 0), (), departed))
-    _send_newer(plane, peer, wants.revision)
+    removals = plane.members.recent_removals()
+    if removals:
+        peer.send(
+            Membership(
+                sender_datacentre, plane.epochs.get(sender_datacentre, 0), (), removals
+            )
+        )
+    _send_newer(plane, peer, subscription.revision)
     peer.send(plane.heartbeat())
--- a/packages/cornelspan-control/src/cornelspan_control/suspicion.py
+++ b/packages/cornelspan-control/src/cornelspan_control/failure_detection.py
@@ -18,40 +18,40 @@
 from cornelspan_common.streams import Peer, open_peer
 from cornelspan_control.plane import Plane
 
-PARALLEL_JUDGEMENTS = 16
+MAX_PARALLEL_CHECKS = 16
 # Only balancers are relays.
 RELAY_ROLE = "balancer"
 
 log = get_log(__name__)
 
 
-class Judge:
+class FailureDetector:
     """The judgements under way in one relay.
 
-    ``verdicts``, ``acquitted`` and ``unwitnessed`` count how they ended.
+    ``confirmed_dead``, ``found_alive`` and ``unconfirmed`` count how they ended.
     """
 
     def __init__(self, plane: Plane) -> None:
         self.plane = plane
         self.control = plane.settings.control
-        self.questions = itertools.count(1)
-        self.waiting: dict[int, asyncio.Future[bool]] = {}
-        self.hurried: dict[str, float] = {}
-        self.places = asyncio.Semaphore(PARALLEL_JUDGEMENTS)
-        self.held: dict[str, int] = {}
-        self.verdicts = 0
-        self.acquitted = 0
-        self.unwitnessed = 0
-
-    def hurry(self, name: str) -> None:
+        self.question_ids = itertools.count(1)
+        self.pending_verdicts: dict[int, asyncio.Future[bool]] = {}
+        self.stream_ended: dict[str, float] = {}
+        self.check_slots = asyncio.Semaphore(MAX_PARALLEL_CHECKS)
+        self.held_epochs: dict[str, int] = {}
+        self.confirmed_dead = 0
+        self.found_alive = 0
+        self.unconfirmed = 0
+
+    def check_soon(self, name: str) -> None:
         """Look at a member soon, since its stream has ended."""
-        self.hurried[name] = time.monotonic()
+        self.stream_ended[name] = time.monotonic()
 
-    def answered(self, verdict: Verdict) -> None:
+    def receive_verdict(self, verdict: Verdict) -> None:
         """Take a witness's answer."""
-        waiting = self.waiting.pop(verdict.question, None)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(verdict.alive)
+        answer = self.pending_verdicts.pop(verdict.question, None)
+        if answer is not None and not answer.done():
+            answer.set_result(verdict.alive)
 
     async def run(self) -> None:
         """Look for silent members, as long as the daemon runs.
@@ -60,78 +60,78 @@
         all would be dead. The pause shows as a turn that took too long, and then
         everyone gets the whole time again.
         """
-        pause = min(self.control.heartbeat_seconds, self.control.lost_seconds) / 2
-        last = time.monotonic()
+        interval = min(self.control.heartbeat_seconds, self.control.lost_seconds) / 2
+        last_turn = time.monotonic()
         while True:
-            await asyncio.sleep(pause)
+            await asyncio.sleep(interval)
             now = time.monotonic()
-            if now - last > pause + self.control.heartbeat_seconds:
-                self._forgive(now)
-            last = now
-            offices = self._take_offices()
+            if now - last_turn > interval + self.control.heartbeat_seconds:
+                self._reset_timeouts(now)
+            last_turn = now
+            datacentres = self._update_held_epochs()
             await asyncio.gather(
-                *(self._judge(m) for m in self._suspects(offices, now))
+                *(self._check(m) for m in self._silent_members(datacentres, now))
             )
 
-    def _take_offices(self) -> list[str]:
+    def _update_held_epochs(self) -> list[str]:
         """Return the data centres judged here; each new one begins with an epoch.
 
         Who judged there before may have been paused and not know it. Under the new
         epoch everyone refuses what it says then.
         """
         plane = self.plane
-        offices = plane.offices()
-        if not offices and not plane.is_relay:
-            plane.heard.clear()
-            self.hurried.clear()
-        for datacentre in offices:
+        datacentres = plane.primary_datacentres()
+        if not datacentres and not plane.is_relay:
+            plane.last_heard.clear()
+            self.stream_ended.clear()
+        for datacentre in datacentres:
             epoch = plane.epochs.get(datacentre, 0)
-            if self.held.get(datacentre) != epoch:
+            if self.held_epochs.get(datacentre) != epoch:
                 self._begin_epoch(datacentre)
-        for datacentre in set(self.held) - set(offices):
-            del self.held[datacentre]
-        return offices
+        for datacentre in set(self.held_epochs) - set(datacentres):
+            del self.held_epochs[datacentre]
+        return datacentres
 
     def _begin_epoch(self, datacentre: str) -> None:
         """Judge on under an epoch that nobody else has had."""
         epoch = self.plane.epochs.get(datacentre, 0) + 1
         self.plane.epochs[datacentre] = epoch
-        self.held[datacentre] = epoch
-        self.plane.tell_all(Membership(datacentre, epoch, (), ()))
+        self.held_epochs[datacentre] = epoch
+        self.plane.broadcast(Membership(datacentre, epoch, (), ()))
 
-    def _forgive(self, now: float) -> None:
+    def _reset_timeouts(self, now: float) -> None:
         log.warning("this process was paused", extra={"relay": self.plane.name})
-        self.hurried.clear()
-        for name in self.plane.heard:
-            self.plane.heard[name] = now
+        self.stream_ended.clear()
+        for name in self.plane.last_heard:
+            self.plane.last_heard[name] = now
 
-    def _suspects(self, offices: list[str], now: float) -> Iterator[Announce]:
+    def _silent_members(self, datacentres: list[str], now: float) -> Iterator[Announce]:
         plane = self.plane
         for member in list(plane.members.known.values()):
-            if member.datacentre not in offices or member.name == plane.name:
+            if member.datacentre not in datacentres or member.name == plane.name:
                 continue
-            heard = plane.heard.setdefault(member.name, now)
-            limit = self.control.silent_seconds
-            ended = self.hurried.get(member.name, 0.0)
-            if ended > heard:
-                limit = min(limit, self.control.lost_seconds)
-                heard = ended
-            if now - heard > limit:
+            last_heard = plane.last_heard.setdefault(member.name, now)
+            timeout = self.control.silent_seconds
+            last_ended = self.stream_ended.get(member.name, 0.0)
+            if last_ended > last_heard:
+                timeout = min(timeout, self.control.lost_seconds)
+                last_heard = last_ended
+            if now - last_heard > timeout:
                 yield member
 
-    async def _judge(self, member: Announce) -> None:
-        async with self.places:
-            reached = await reach(self.plane, member)
-            witnessed = False if reached else await self._ask(member)
-        self.hurried.pop(member.name, None)
-        if reached or witnessed:
-            self.acquitted += 1
-            self.plane.heard[member.name] = time.monotonic()
+    async def _check(self, member: Announce) -> None:
+        async with self.check_slots:
+            reached = await probe(self.plane, member)
+            reached_by_other = False if reached else await self._ask_balancer(member)
+        self.stream_ended.pop(member.name, None)
+        if reached or reached_by_other:
+            self.found_alive += 1
+            self.plane.last_heard[member.name] = time.monotonic()
             return
-        if witnessed is None:
-            self.unwitnessed += 1
+        if reached_by_other is None:
+            self.unconfirmed += 1
             return
-        self.verdicts += 1
+        self.confirmed_dead += 1
         log.warning("member judged dead", extra={"member": member.name})
         if member.role == RELAY_ROLE:
             # It may have been the primary for less than a turn of this loop, under the
@@ -141,66 +141,66 @@
         gone = Gone(member.name, member.incarnation)
         self.plane.remove(gone, member.datacentre)
 
-    async def _ask(self, member: Announce) -> bool | None:
+    async def _ask_balancer(self, member: Announce) -> bool | None:
         """Ask a witness whether a member lives; None if no witness answers.
 
         Where this is the only balancer known, its own failed attempt has to do.
         """
         plane = self.plane
-        witnesses = self._witnesses(member)
-        if not witnesses:
+        peers = self._other_balancers(member)
+        if not peers:
             known = plane.members.known.values()
             balancers = {each.name for each in known if each.role == "balancer"}
             return False if balancers <= {plane.name, member.name} else None
-        question = next(self.questions)
-        waiting = asyncio.get_running_loop().create_future()
-        self.waiting[question] = waiting
-        witnesses[0].send(
+        question = next(self.question_ids)
+        answer = asyncio.get_running_loop().create_future()
+        self.pending_verdicts[question] = answer
+        peers[0].send(
             Suspect(question, member.name, member.incarnation, member.host, member.port)
         )
         try:
-            limit = 2 * plane.settings.streams.connect_seconds
-            return await asyncio.wait_for(waiting, limit)
+            timeout = 2 * plane.settings.streams.connect_seconds
+            return await asyncio.wait_for(answer, timeout)
         except TimeoutError:
             return None
         finally:
-            self.waiting.pop(question, None)
+            self.pending_verdicts.pop(question, None)
 
-    def _witnesses(self, member: Announce) -> list[Peer]:
+    def _other_balancers(self, member: Announce) -> list[Peer]:
         """Return the streams of other balancers, relays of this data centre first."""
         plane = self.plane
         relays = plane.relays()
         found = [
             subscriber
             for subscriber in plane.subscribers.values()
-            if subscriber.wants.name != member.name
+            if subscriber.subscription.name != member.name
             and subscriber.peer.hello.role == "balancer"
         ]
-        found.sort(key=lambda each: each.wants.name not in relays)
+        found.sort(key=lambda each: each.subscription.name not in relays)
         return [each.peer for each in found if not each.peer.closed]
 
 
-async def reach(plane: Plane, member: Announce | Suspect) -> bool:
+async def probe(plane: Plane, member: Announce | Suspect) -> bool:
     """Whether a process of that name and life answers at its address."""
     address = Address(host=member.host, port=member.port)
     streams = plane.settings.streams
     async with open_peer(address, plane.hello, streams, tls=plane.tls) as opened:
         match opened:
             case Ok(peer):
-                theirs = peer.hello
-                same = theirs.name == member.name
-                return same and theirs.incarnation >= member.incarnation
+                remote = peer.hello
+                same_name = remote.name == member.name
+                return same_name and remote.incarnation >= member.incarnation
             case _:
                 return False
 
 
-async def witness(plane: Plane, peer: Peer, suspect: Suspect) -> None:
+async def answer_suspect(plane: Plane, peer: Peer, suspect: Suspect) -> None:
     """Answer another relay's question by what was heard, else by trying."""
-    heard = plane.heard.get(suspect.name, 0.0)
-    limit = plane.settings.control.heartbeat_seconds * 1.5
+    last_heard = plane.last_heard.get(suspect.name, 0.0)
+    timeout = plane.settings.control.heartbeat_seconds * 1.5
     known = plane.members.is_alive(suspect.name, suspect.incarnation)
-    recently = known and time.monotonic() - heard < limit
-    alive = (recently and plane.is_connected(suspect.name)) or await reach(
+    recently_heard = known and time.monotonic() - last_heard < timeout
+    alive = (recently_heard and plane.is_connected(suspect.name)) or await probe(
         plane, suspect
     )
     peer.send(Verdict(suspect.question, alive))
--- a/packages/cornelspan-control/src/cornelspan_control/members.py
+++ b/packages/cornelspan-control/src/cornelspan_control/members.py
@@ -5,8 +5,8 @@
 from cornelspan_common.control import Announce, Gone
 from cornelspan_common.hashing import name_seed
 
-KEPT_GONE = 4096
-TOLD_GONE = 256
+MAX_TOMBSTONES = 4096
+SENT_TOMBSTONES = 256
 DIGEST_MASK = (1 << 63) - 1
 
 
@@ -19,7 +19,7 @@
     """
 
     known: dict[str, Announce] = field(default_factory=dict)
-    gone: dict[str, int] = field(default_factory=dict)
+    tombstones: dict[str, int] = field(default_factory=dict)
     version: int = 0
 
     def announce(self, member: Announce) -> bool:
@@ -29,10 +29,10 @@
             False if it is old: of an earlier life than the one known or gone, or
             nothing new.
         """
-        if member.incarnation <= self.gone.get(member.name, 0):
+        if member.incarnation <= self.tombstones.get(member.name, 0):
             return False
         known = self.known.get(member.name)
-        if known is not None and _supersedes(known, member):
+        if known is not None and _is_current(known, member):
             return False
         self.known[member.name] = member
         self.version += 1
@@ -40,9 +40,9 @@
 
     def remove(self, name: str, incarnation: int) -> bool:
         """Forget a member's life, and any earlier one, for good."""
-        if incarnation <= self.gone.get(name, 0):
+        if incarnation <= self.tombstones.get(name, 0):
             return False
-        self._bury(name, incarnation)
+        self._add_tombstone(name, incarnation)
         known = self.known.get(name)
         if known is None or known.incarnation > incarnation:
             return False
@@ -50,16 +50,16 @@
         self.version += 1
         return True
 
-    def _bury(self, name: str, incarnation: int) -> None:
+    def _add_tombstone(self, name: str, incarnation: int) -> None:
         """Remember a life that has ended; the oldest are forgotten.
 
         Without a bound, names that never come back would fill the memory. An
         announcement older than thousands of departures is not on its way any more.
         """
-        self.gone.pop(name, None)
-        self.gone[name] = incarnation
-        if len(self.gone) > KEPT_GONE:
-            del self.gone[next(iter(self.gone))]
+        self.tombstones.pop(name, None)
+        self.tombstones[name] = incarnation
+        if len(self.tombstones) > MAX_TOMBSTONES:
+            del self.tombstones[next(iter(self.tombstones))]
 
     def is_alive(self, name: str, incarnation: int) -> bool:
         """Whether this is the life known of that name."""
@@ -75,18 +75,18 @@
         """Return the data centres of the members, by name."""
         return sorted({member.datacentre for member in self.known.values()})
 
-    def departed(self) -> tuple[Gone, ...]:
+    def recent_removals(self) -> tuple[Gone, ...]:
         """Return the lives that ended last, for a process that may have missed it."""
-        last = list(self.gone.items())[-TOLD_GONE:]
-        return tuple(Gone(name, life) for name, life in last)
+        newest = list(self.tombstones.items())[-SENT_TOMBSTONES:]
+        return tuple(Gone(name, incarnation) for name, incarnation in newest)
 
     def digest(self, datacentre: str) -> int:
         """Return a digest of a data centre's members; equal if they are the same."""
         total = 0
         for member in self.known.values():
             if member.datacentre == datacentre:
-                life = f"{member.name} {member.incarnation} {member.leaving}"
-                total ^= name_seed(life)
+                state = f"{member.name} {member.incarnation} {member.leaving}"
+                total ^= name_seed(state)
         return total & DIGEST_MASK
 
     def of_service(self, service: str) -> list[Announce]:
@@ -104,7 +104,7 @@
         return sorted(found, key=lambda member: member.name)
 
 
-def _supersedes(known: Announce, member: Announce) -> bool:
+def _is_current(known: Announce, member: Announce) -> bool:
     """Whether what is known is at least as new as the announcement.
 
     Within one life only ``leaving`` changes, from false to true and never back.
--- a/packages/cornelspan-control/src/cornelspan_control/plane.py
+++ b/packages/cornelspan-control/src/cornelspan_control/plane.py
@@ -22,15 +22,15 @@
 from cornelspan_common.streams import Peer
 from cornelspan_common.tasks import Tasks
 from cornelspan_control.configuration import Configuration, Delta, Snapshot
-from cornelspan_control.election import elect
 from cornelspan_control.members import Members
+from cornelspan_control.relay_selection import select_relays
 from cornelspan_control.revisions import decode, encode
 from cornelspan_control.store import StoreClient
 
-KEPT_DELTAS = 64
+MAX_KEPT_DELTAS = 64
 
 log = get_log(__name__)
-Listener = Callable[[], None]
+Callback = Callable[[], None]
 
 
 @dataclass
@@ -38,33 +38,47 @@
     """A process that hears from this one, and what it wants to hear."""
 
     peer: Peer
-    wants: Subscribe
+    subscription: Subscribe
     datacentre: str
     relays: tuple[str, ...] = ()
 
-    def wanted(self, member: Announce) -> bool:
+    def wants(self, member: Announce) -> bool:
         """Whether the subscriber wants to know of a member."""
-        if self.wants.scope and member.datacentre != self.wants.scope:
+        if self.subscription.scope and member.datacentre != self.subscription.scope:
             return False
-        if not self.wants.service:
+        if not self.subscription.service:
             return True
         if member.role == "balancer":
             return member.datacentre == self.datacentre or member.name in self.relays
-        return member.service == self.wants.service
+        return member.service == self.subscription.service
 
 
 @dataclass
 class Plane:
     """State of the control plane in one daemon.
 
-    ``heard`` holds when a member of this data centre last spoke to this process, and
-    ``silent`` the relays that can't be heard from here, with when that was found.
-    ``subscribers`` are held by stream: a process that meets this one anew while its
-    first stream still lives has two, and the end of one must not silence the other.
-    ``epochs`` holds the newest epoch known of each data centre's primary relay.
-    ``renew`` gives the daemon a new life when others take the present one for ended.
-    A relay's ``collect`` takes agents' service-level counts, with their data centre; an
-    agent's ``on_sealed`` hears up to which minute they are in the store.
+    Attributes:
+        on_new_incarnation: Called with a new incarnation number when other processes
+            have removed the current one while this daemon is alive.
+        collect_counts: On relays, takes an agent's service-level counts and the
+            agent's data centre; returns up to which minute they are stored.
+        on_sealed: On agents, called with the minute up to which the relay has stored
+            the service-level counts.
+        subscribers: Subscriptions by stream, not by name. A process that connects
+            again while its first stream is open has two; closing one must not remove
+            the subscription of the other.
+        last_heard: Monotonic time of the last message from each member of this data
+            centre.
+        last_heartbeats: The last heartbeat of each member.
+        silent_relays: Relays that send nothing to this daemon, with the monotonic time
+            at which that was found.
+        epochs: Newest known epoch of each data centre's primary relay.
+        relays_state: Member version and silent relays for which
+            ``relays_by_datacentre`` is valid.
+        deltas: The newest configuration changes, oldest first, for subscribers that
+            are a few revisions behind.
+        false_removals: How often this daemon was removed while it was alive.
+        stale_removals: Messages with removals ignored because of an older epoch.
     """
 
     settings: DaemonSettings
@@ -74,26 +88,26 @@
     tasks: Tasks
     store: StoreClient
     announcement: Callable[[], Announce]
-    renew: Callable[[int], None]
-    on_members: Listener
-    on_configuration: Listener
+    on_new_incarnation: Callable[[int], None]
+    on_members: Callback
+    on_configuration: Callback
     tls: ssl.SSLContext | None = None
-    tell_relays: Callable[[Message], None] = lambda message: None
-    collect: Callable[[ServiceCounts, str], Sealed] | None = None
+    send_to_relays: Callable[[Message], None] = lambda message: None
+    collect_counts: Callable[[ServiceCounts, str], Sealed] | None = None
     on_sealed: Callable[[int], None] = lambda minute: None
     subscribers: dict[Peer, Subscriber] = field(default_factory=dict)
-    heard: dict[str, float] = field(default_factory=dict)
-    reports: dict[str, Heartbeat] = field(default_factory=dict)
-    silent: dict[str, float] = field(default_factory=dict)
+    last_heard: dict[str, float] = field(default_factory=dict)
+    last_heartbeats: dict[str, Heartbeat] = field(default_factory=dict)
+    silent_relays: dict[str, float] = field(default_factory=dict)
     epochs: dict[str, int] = field(default_factory=dict)
-    elected: dict[str, list[str]] = field(default_factory=dict)
-    elected_at: tuple[int, frozenset[str]] = (-1, frozenset())
+    relays_by_datacentre: dict[str, list[str]] = field(default_factory=dict)
+    relays_state: tuple[int, frozenset[str]] = (-1, frozenset())
     deltas: list[Revision] = field(default_factory=list)
-    store_heard: float = 0.0
+    last_store_read: float = 0.0
     in_force_since: float = 0.0
     started: float = field(default_factory=time.monotonic)
-    wrongly_gone: int = 0
-    refused_epochs: int = 0
+    false_removals: int = 0
+    stale_removals: int = 0
 
     @property
     def name(self) -> str:
@@ -116,22 +130,22 @@
         The ranking is kept until members or silent relays change, since it is asked
         for at every turn and looks at each member.
         """
-        state = (self.members.version, frozenset(self.silent))
-        if state != self.elected_at:
-            self.elected_at = state
-            self.elected.clear()
+        state = (self.members.version, frozenset(self.silent_relays))
+        if state != self.relays_state:
+            self.relays_state = state
+            self.relays_by_datacentre.clear()
         wanted = datacentre or self.datacentre
-        if wanted not in self.elected:
-            found = elect(self.members, wanted, without=self.silent)
-            self.elected[wanted] = found
-        return self.elected[wanted]
+        if wanted not in self.relays_by_datacentre:
+            found = select_relays(self.members, wanted, excluding=self.silent_relays)
+            self.relays_by_datacentre[wanted] = found
+        return self.relays_by_datacentre[wanted]
 
     @property
     def is_relay(self) -> bool:
         """Whether this daemon is one of its data centre's relays."""
         return self.name in self.relays()
 
-    def offices(self) -> list[str]:
+    def primary_datacentres(self) -> list[str]:
         """Return the data centres whose primary relay this daemon is.
 
         The primary judges and writes to the store. One without balancers of its own
@@ -186,38 +200,38 @@
         self.in_force_since = time.monotonic()
         log.info("configuration in force", extra={"revision": newer.revision})
         if isinstance(newer, Delta):
-            self._keep(encode(newer))
+            self._keep_delta(encode(newer))
         else:
             self.deltas.clear()
-        self._pass_on(before)
+        self._forward_configuration(before)
         self.on_configuration()
         return True
 
-    def _keep(self, delta: Revision) -> None:
+    def _keep_delta(self, delta: Revision) -> None:
         self.deltas.append(delta)
-        del self.deltas[:-KEPT_DELTAS]
+        del self.deltas[:-MAX_KEPT_DELTAS]
 
-    def _pass_on(self, before: int) -> None:
+    def _forward_configuration(self, before: int) -> None:
         """Send subscribers the newest delta, or a beat that has them ask."""
         newest = self.deltas[-1] if self.deltas else None
         if newest is None or newest.base > before:
-            self.tell_all(self.heartbeat())
+            self.broadcast(self.heartbeat())
         else:
-            self.tell_all(newest)
+            self.broadcast(newest)
 
     def is_connected(self, name: str) -> bool:
         """Whether a stream from a process is open here."""
         return any(
-            each.wants.name == name and not each.peer.closed
+            each.subscription.name == name and not each.peer.closed
             for each in self.subscribers.values()
         )
 
-    def tell_all(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Send a message to each subscriber."""
         for subscriber in self.subscribers.values():
             subscriber.peer.send(message)
 
-    def take_revision(self, revision: Revision) -> bool:
+    def apply_revision(self, revision: Revision) -> bool:
         """Put a received configuration in force.
 
         Returns:
@@ -230,7 +244,7 @@
         newer = decode(revision)
         return newer is None or self.put_in_force(newer)
 
-    def newer_than(self, revision: int) -> list[Revision]:
+    def updates_since(self, revision: int) -> list[Revision]:
         """Return what brings a process from a revision to the one in force here."""
         if revision >= self.configuration.revision:
             return []
@@ -239,27 +253,27 @@
                 return self.deltas[number:]
         return [encode(self.configuration.snapshot())]
 
-    def take_membership(self, news: Membership) -> None:
+    def apply_membership(self, update: Membership) -> None:
         """Take in members that came or went, and pass on what was new.
 
         News of a departure under an older epoch than known comes from a relay that was
         paused or cut off: its judgement is of a time that has passed, and would take
         living members away. Announcements are safe, since incarnations order them.
         """
-        known = self.epochs.get(news.datacentre, 0)
-        departed = news.gone
-        if news.epoch < known:
-            self.refused_epochs += bool(departed)
-            departed = ()
-        self.epochs[news.datacentre] = max(known, news.epoch)
-        came = tuple(m for m in news.members if self._announce(m))
-        went = tuple(g for g in departed if self._remove(g))
-        if came or went:
-            self.publish(news.datacentre, came, went)
+        known = self.epochs.get(update.datacentre, 0)
+        removals = update.gone
+        if update.epoch < known:
+            self.stale_removals += bool(removals)
+            removals = ()
+        self.epochs[update.datacentre] = max(known, update.epoch)
+        joined = tuple(m for m in update.members if self._announce(m))
+        removed = tuple(g for g in removals if self._remove(g))
+        if joined or removed:
+            self.publish(update.datacentre, joined, removed)
 
     def announce(self, member: Announce) -> None:
         """Take in what a member says of itself, and pass it on if it is new."""
-        self.heard[member.name] = time.monotonic()
+        self.last_heard[member.name] = time.monotonic()
         if self._announce(member):
             self.publish(member.datacentre, (member,), ())
 
@@ -271,52 +285,52 @@
     def _announce(self, member: Announce) -> bool:
         """Take in an announcement; one of another life of ours is outdone by ours."""
         if member.name == self.name and member.incarnation > self.incarnation:
-            self._begin_life(member.incarnation + 1)
+            self._begin_incarnation(member.incarnation + 1)
             return False
         if not self.members.announce(member):
             return False
-        self.heard.setdefault(member.name, time.monotonic())
-        self.silent.pop(member.name, None)
+        self.last_heard.setdefault(member.name, time.monotonic())
+        self.silent_relays.pop(member.name, None)
         return True
 
     def _remove(self, gone: Gone) -> bool:
         """Forget a life. Ours, if we live, begins a new one that all will believe."""
         if gone.name == self.name and gone.incarnation >= self.incarnation:
-            self.wrongly_gone += 1
+            self.false_removals += 1
             log.warning("taken for dead", extra={"incarnation": gone.incarnation})
             self.members.remove(gone.name, gone.incarnation)
-            self._begin_life(gone.incarnation + 1)
+            self._begin_incarnation(gone.incarnation + 1)
             return False
         if not self.members.remove(gone.name, gone.incarnation):
             return False
-        self.heard.pop(gone.name, None)
-        self.reports.pop(gone.name, None)
+        self.last_heard.pop(gone.name, None)
+        self.last_heartbeats.pop(gone.name, None)
         log.info("member gone", extra={"member": gone.name})
         return True
 
-    def _begin_life(self, incarnation: int) -> None:
+    def _begin_incarnation(self, incarnation: int) -> None:
         """Go on under a new incarnation, which outdoes what is said of the old one."""
-        self.renew(incarnation)
+        self.on_new_incarnation(incarnation)
         self.hello = msgspec.structs.replace(self.hello, incarnation=incarnation)
         self.announce_self()
 
     def announce_self(self) -> None:
         """Make this daemon's own announcement known to relays and subscribers."""
         own = self.announcement()
-        self.tell_relays(own)
+        self.send_to_relays(own)
         if self.members.announce(own):
             self.publish(self.datacentre, (own,), ())
 
     def publish(
-        self, datacentre: str, came: tuple[Announce, ...], went: tuple[Gone, ...]
+        self, datacentre: str, joined: tuple[Announce, ...], removed: tuple[Gone, ...]
     ) -> None:
         """Send news of members to the subscribers that want them."""
         epoch = self.epochs.get(datacentre, 0)
         for subscriber in self.subscribers.values():
-            wanted = tuple(m for m in came if subscriber.wanted(m))
-            scope = subscriber.wants.scope
-            departed = went if scope in ("", datacentre) else ()
-            if wanted or departed:
-                news = Membership(datacentre, epoch, wanted, departed)
-                subscriber.peer.send(news)
+            wanted = tuple(m for m in joined if subscriber.wants(m))
+            scope = subscriber.subscription.scope
+            removals = removed if scope in ("", datacentre) else ()
+            if wanted or removals:
+                update = Membership(datacentre, epoch, wanted, removals)
+                subscriber.peer.send(update)
         self.on_members()
--- a/packages/cornelspan-control/src/cornelspan_control/relay_links.py
+++ b/packages/cornelspan-control/src/cornelspan_control/relay_links.py
@@ -11,14 +11,14 @@
 from cornelspan_common.packets import Message
 from cornelspan_common.settings import Address
 from cornelspan_common.streams import Peer, batches, open_peer
-from cornelspan_control.dispatch import take
+from cornelspan_control.dispatch import handle_message
+from cornelspan_control.failure_detection import FailureDetector
 from cornelspan_control.plane import Plane
-from cornelspan_control.suspicion import Judge
 
-SILENT_KEPT_SECONDS = 60.0
-MEET_SECONDS = 2.0
-MEET_AGAIN_SECONDS = 30.0
-BEAT_JITTER = 0.1
+SILENT_RETRY_SECONDS = 60.0
+SEED_EXCHANGE_SECONDS = 2.0
+SEED_RETRY_SECONDS = 30.0
+HEARTBEAT_JITTER = 0.1
 
 log = get_log(__name__)
 
@@ -26,9 +26,9 @@
 class RelayLinks:
     """The relays that one daemon follows, and when it last heard from each."""
 
-    def __init__(self, plane: Plane, judge: Judge) -> None:
+    def __init__(self, plane: Plane, detector: FailureDetector) -> None:
         self.plane = plane
-        self.judge = judge
+        self.detector = detector
         self.links = Links(
             plane.hello,
             plane.settings.streams,
@@ -37,8 +37,8 @@
             tls=plane.tls,
         )
         self.scopes: dict[str, str] = {}
-        self.heard: dict[str, float] = {}
-        self.met: float = 0.0
+        self.last_heard: dict[str, float] = {}
+        self.last_exchange: float = 0.0
 
     @property
     def connected(self) -> bool:
@@ -47,22 +47,22 @@
 
     async def follow(self, peer: Peer) -> None:
         """Announce to one relay, subscribe, and take what it sends."""
-        self.greet(peer)
+        self.subscribe(peer)
         async for batch in batches(peer):
-            self.heard[peer.name] = time.monotonic()
+            self.last_heard[peer.name] = time.monotonic()
             for message in batch:
-                take(self.plane, self.judge, peer, message)
+                handle_message(self.plane, self.detector, peer, message)
 
-    def greet(self, peer: Peer) -> None:
+    def subscribe(self, peer: Peer) -> None:
         """Say who we are and what we want to hear."""
         plane = self.plane
-        self.heard[peer.name] = time.monotonic()
-        plane.silent.pop(peer.name, None)
+        self.last_heard[peer.name] = time.monotonic()
+        plane.silent_relays.pop(peer.name, None)
         peer.send(plane.announcement())
         peer.send(plane.subscription(self.scopes.get(peer.name, "")))
         peer.send(plane.heartbeat())
 
-    def tell(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         """Send a message to the relays that are followed."""
         self.links.hello = self.plane.hello
         for peer in self.links.open.values():
@@ -72,37 +72,37 @@
         """Follow the relays of the moment and beat to them, as long as we run."""
         control = self.plane.settings.control
         random = self.plane.store.random
-        pause = min(control.heartbeat_seconds, control.lost_seconds)
-        turn = time.monotonic()
-        beat = turn
+        interval = min(control.heartbeat_seconds, control.lost_seconds)
+        last_turn = time.monotonic()
+        next_heartbeat = last_turn
         while True:
             now = time.monotonic()
-            if now - turn > 2 * pause:
-                self._forgive()
-            turn = now
-            self.choose()
-            if now >= beat:
-                self.tell(self.plane.heartbeat())
-                jitter = random.uniform(1 - BEAT_JITTER, 1 + BEAT_JITTER)
-                beat = now + control.heartbeat_seconds * jitter
-            await asyncio.sleep(pause)
-
-    def choose(self) -> None:
+            if now - last_turn > 2 * interval:
+                self._reset_timeouts()
+            last_turn = now
+            self.update_links()
+            if now >= next_heartbeat:
+                self.send(self.plane.heartbeat())
+                jitter = random.uniform(1 - HEARTBEAT_JITTER, 1 + HEARTBEAT_JITTER)
+                next_heartbeat = now + control.heartbeat_seconds * jitter
+            await asyncio.sleep(interval)
+
+    def update_links(self) -> None:
         """Want streams to the relays as elected from here, and to no others."""
         now = time.monotonic()
-        self._drop_silent(now)
-        wanted = self._wanted()
+        self._mark_silent(now)
+        wanted = self._wanted_relays()
         for name, scope in wanted.items():
             member = self.plane.members.known[name]
-            self._rescope(name, scope)
-            self.heard.setdefault(name, now)
+            self._update_scope(name, scope)
+            self.last_heard.setdefault(name, now)
             self.links.want(name, Address(host=member.host, port=member.port))
-        for name in set(self.heard) - set(wanted):
-            del self.heard[name]
+        for name in set(self.last_heard) - set(wanted):
+            del self.last_heard[name]
             self.scopes.pop(name, None)
         self.links.keep_only(set(wanted))
 
-    def _rescope(self, name: str, scope: str) -> None:
+    def _update_scope(self, name: str, scope: str) -> None:
         """Subscribe anew where an open stream has to carry something else."""
         before = self.scopes.get(name)
         self.scopes[name] = scope
@@ -110,7 +110,7 @@
         if peer is not None and before not in (None, scope):
             peer.send(self.plane.subscription(scope))
 
-    def _wanted(self) -> dict[str, str]:
+    def _wanted_relays(self) -> dict[str, str]:
         """Return the relays to follow, each with the data centre it is heard for.
 
         Relays also follow those of the other data centres; one that is followed for
@@ -125,50 +125,50 @@
         wanted.pop(plane.name, None)
         return wanted
 
-    def _forgive(self) -> None:
+    def _reset_timeouts(self) -> None:
         """Give every relay its whole time again after a pause of this process.
 
         What they said meanwhile waits in the streams unread; without this the pause
         would be taken for their silence, and all relays dropped for a minute.
         """
         now = time.monotonic()
-        for name in self.heard:
-            self.heard[name] = now
+        for name in self.last_heard:
+            self.last_heard[name] = now
 
-    def _drop_silent(self, now: float) -> None:
+    def _mark_silent(self, now: float) -> None:
         """Note relays that say nothing, and try them again after a while."""
-        silent = self.plane.silent
-        for name, heard in self.heard.items():
-            if now - heard > self._patience(name) and name not in silent:
+        silent = self.plane.silent_relays
+        for name, last_heard in self.last_heard.items():
+            if now - last_heard > self._silence_timeout(name) and name not in silent:
                 silent[name] = now
                 log.warning("relay is silent", extra={"relay": name})
-        for name in [n for n, at in silent.items() if now - at > SILENT_KEPT_SECONDS]:
+        for name in [n for n, at in silent.items() if now - at > SILENT_RETRY_SECONDS]:
             del silent[name]
-            self.heard.pop(name, None)
+            self.last_heard.pop(name, None)
 
-    def _patience(self, name: str) -> float:
+    def _silence_timeout(self, name: str) -> float:
         settings = self.plane.settings
         if self.links.get(name) is not None:
             return settings.control.relay_silent_seconds
         return 2 * settings.streams.connect_seconds + settings.control.lost_seconds
 
-    async def meet(self) -> None:
+    async def contact_seeds(self) -> None:
         """Ask seeds who is there, as long as no relay is followed.
 
         A balancer that believes it is alone asks again now and then, or two that
         started apart would never learn of each other.
         """
         plane = self.plane
-        pause = plane.settings.streams.reconnect_seconds
+        interval = plane.settings.streams.reconnect_seconds
         while True:
-            rested = time.monotonic() - self.met > MEET_AGAIN_SECONDS
-            if not self.connected and (rested or not plane.is_relay):
-                await self.meet_one()
-                self.choose()
-            await asyncio.sleep(pause * plane.store.random.uniform(0.5, 1.5))
-            pause = min(MEET_SECONDS, 2 * pause)
-
-    async def meet_one(self) -> None:
+            retry_due = time.monotonic() - self.last_exchange > SEED_RETRY_SECONDS
+            if not self.connected and (retry_due or not plane.is_relay):
+                await self.contact_one_seed()
+                self.update_links()
+            await asyncio.sleep(interval * plane.store.random.uniform(0.5, 1.5))
+            interval = min(SEED_EXCHANGE_SECONDS, 2 * interval)
+
+    async def contact_one_seed(self) -> None:
         """Exchange members and configuration with the first seed that answers."""
         plane = self.plane
         listen = plane.settings.listen
@@ -180,7 +180,7 @@
             ) as opened:
                 match opened:
                     case Ok(peer):
-                        self.met = time.monotonic()
+                        self.last_exchange = time.monotonic()
                         await self._exchange(peer)
                         return
                     case Err(error):
@@ -188,12 +188,12 @@
 
     async def _exchange(self, peer: Peer) -> None:
         plane = self.plane
-        self.greet(peer)
+        self.subscribe(peer)
         try:
-            async with asyncio.timeout(MEET_SECONDS):
+            async with asyncio.timeout(SEED_EXCHANGE_SECONDS):
                 async for batch in batches(peer):
                     for message in batch:
-                        take(plane, self.judge, peer, message)
+                        handle_message(plane, self.detector, peer, message)
                     if any(isinstance(message, Heartbeat) for message in batch):
                         return
         except TimeoutError:
--- a/packages/cornelspan-control/src/cornelspan_control/election.py
+++ b/packages/cornelspan-control/src/cornelspan_control/relay_selection.py
@@ -11,11 +11,11 @@
 from cornelspan_common.hashing import name_seed, rank
 from cornelspan_control.members import Members
 
-RELAYS = 2
+RELAYS_PER_DATACENTRE = 2
 
 
-def elect(
-    members: Members, datacentre: str, *, without: Container[str] = ()
+def select_relays(
+    members: Members, datacentre: str, *, excluding: Container[str] = ()
 ) -> list[str]:
     """Return the relays of a data centre, the primary first.
 
@@ -30,17 +30,17 @@
     live = [
         member
         for member in members.known.values()
-        if member.role == "balancer" and member.name not in without
+        if member.role == "balancer" and member.name not in excluding
     ]
-    staying = [member for member in live if not member.leaving] or live
-    local = [member for member in staying if member.datacentre == datacentre]
-    relays = _ranked(datacentre, local)[:RELAYS]
-    if len(relays) == RELAYS:
+    preferred = [member for member in live if not member.leaving] or live
+    local = [member for member in preferred if member.datacentre == datacentre]
+    relays = _rank_balancers(datacentre, local)[:RELAYS_PER_DATACENTRE]
+    if len(relays) == RELAYS_PER_DATACENTRE:
         return relays
-    others = [member for member in staying if member.datacentre != datacentre]
-    return (relays + _ranked(datacentre, others))[:RELAYS]
+    others = [member for member in preferred if member.datacentre != datacentre]
+    return (relays + _rank_balancers(datacentre, others))[:RELAYS_PER_DATACENTRE]
 
 
-def _ranked(datacentre: str, balancers: list[Announce]) -> list[str]:
+def _rank_balancers(datacentre: str, balancers: list[Announce]) -> list[str]:
     candidates = [(member.name, name_seed(member.name), 1.0) for member in balancers]
     return rank(name_seed(datacentre), candidates)
--- a/packages/cornelspan-control/src/cornelspan_control/roster.py
+++ b/packages/cornelspan-control/src/cornelspan_control/roster.py
@@ -62,7 +62,7 @@
         while True:
             jitter = self.plane.store.random.uniform(0.5, 1.5)
             await asyncio.sleep(control.publish_seconds * jitter)
-            for datacentre in self.plane.offices():
+            for datacentre in self.plane.primary_datacentres():
                 if self.content(datacentre) != self.written.get(datacentre):
                     await self._write(datacentre)
 
@@ -141,7 +141,7 @@
         return
     own = plane.announcement().service
     members = tuple(m for m in roster.members if not own or _concerns(plane, m))
-    plane.take_membership(Membership(datacentre, roster.epoch, members, ()))
+    plane.apply_membership(Membership(datacentre, roster.epoch, members, ()))
 
 
 def _concerns(plane: Plane, member: Announce) -> bool:
--- a/packages/cornelspan-control/src/cornelspan_control/status.py
+++ b/packages/cornelspan-control/src/cornelspan_control/status.py
@@ -13,7 +13,7 @@
 def status_of(plane: Plane) -> Status:
     """Return the status of a daemon and of the members that it hears from."""
     now = time.monotonic()
-    centres = sorted({plane.datacentre, *plane.offices()})
+    centres = sorted({plane.datacentre, *plane.primary_datacentres()})
     members = [m for each in centres for m in plane.members.of_datacentre(each)]
     return Status(
         name=plane.name,
@@ -21,7 +21,7 @@
         relays=tuple(plane.relays()),
         epoch=plane.epoch,
         revision=plane.configuration.revision,
-        store_silent_seconds=_since(plane.store_heard, now),
+        store_silent_seconds=_seconds_since(plane.last_store_read, now),
         members=tuple(_member_status(plane, member.name, now) for member in members),
         warnings=tuple(_warnings(plane, now)),
     )
@@ -31,28 +31,30 @@
     member = plane.members.known[name]
     if name == plane.name:
         return MemberStatus(member, plane.configuration.revision, 0.0)
-    report = plane.reports.get(name)
-    current = report is not None and report.incarnation == member.incarnation
-    heard = plane.heard.get(name, 0.0)
+    heartbeat = plane.last_heartbeats.get(name)
+    current = heartbeat is not None and heartbeat.incarnation == member.incarnation
+    last_heard = plane.last_heard.get(name, 0.0)
     return MemberStatus(
-        member, report.revision if current else NEVER_REPORTED, _since(heard, now)
+        member,
+        heartbeat.revision if current else NEVER_REPORTED,
+        _seconds_since(last_heard, now),
     )
 
 
 def _warnings(plane: Plane, now: float) -> list[str]:
-    found = []
-    silent = _since(plane.store_heard, now)
+    warnings = []
+    silent = _seconds_since(plane.last_store_read, now)
     if plane.is_relay and silent == NEVER:
-        found.append("the store was never reached")
+        warnings.append("the store was never reached")
     elif plane.is_relay and silent > STORE_SILENT_SECONDS:
-        found.append(f"the store is silent for {silent:.0f} s")
+        warnings.append(f"the store is silent for {silent:.0f} s")
     if plane.configuration.revision == 0:
-        found.append("no configuration is in force")
-    if plane.wrongly_gone:
-        found.append(f"{plane.name} was taken for dead {plane.wrongly_gone} times")
-    found += [f"relay {name} can't be heard" for name in sorted(plane.silent)]
-    return found
+        warnings.append("no configuration is in force")
+    if plane.false_removals:
+        warnings.append(f"{plane.name} was taken for dead {plane.false_removals} times")
+    warnings += [f"relay {name} can't be heard" for name in sorted(plane.silent_relays)]
+    return warnings
 
 
-def _since(moment: float, now: float) -> float:
+def _seconds_since(moment: float, now: float) -> float:
     return round(now - moment, 3) if moment else NEVER
--- a/packages/cornelspan-control/src/cornelspan_control/subscribers.py
+++ b/packages/cornelspan-control/src/cornelspan_control/subscribers.py
@@ -3,12 +3,12 @@
 import asyncio
 
 from cornelspan_common.streams import Peer, batches
-from cornelspan_control.dispatch import take
+from cornelspan_control.dispatch import handle_message
+from cornelspan_control.failure_detection import FailureDetector
 from cornelspan_control.plane import Plane
-from cornelspan_control.suspicion import Judge
 
 
-async def serve_subscriber(plane: Plane, judge: Judge, peer: Peer) -> None:
+async def serve_subscriber(plane: Plane, detector: FailureDetector, peer: Peer) -> None:
     """Hear one process out until its stream ends.
 
     The end of a stream is a hint that the process died; the judge looks at it soon.
@@ -16,20 +16,20 @@
     try:
         async for batch in batches(peer):
             for message in batch:
-                take(plane, judge, peer, message)
+                handle_message(plane, detector, peer, message)
     finally:
-        known = plane.subscribers.pop(peer, None)
-        if known is not None and not plane.is_connected(peer.name):
-            judge.hurry(peer.name)
+        subscriber = plane.subscribers.pop(peer, None)
+        if subscriber is not None and not plane.is_connected(peer.name):
+            detector.check_soon(peer.name)
 
 
-async def beat_to_subscribers(plane: Plane) -> None:
+async def send_heartbeats(plane: Plane) -> None:
     """Tell subscribers now and then that this relay lives, and its revision.
 
     A subscriber that missed a change sees the higher revision and asks for it.
     """
     control = plane.settings.control
-    pause = control.heartbeat_seconds * control.relay_heartbeats
+    interval = control.heartbeat_seconds * control.relay_heartbeats
     while True:
-        await asyncio.sleep(pause * plane.store.random.uniform(0.9, 1.1))
-        plane.tell_all(plane.heartbeat())
+        await asyncio.sleep(interval * plane.store.random.uniform(0.9, 1.1))
+        plane.broadcast(plane.heartbeat())
--- a/packages/cornelspan-control/src/cornelspan_control/watching.py
+++ b/packages/cornelspan-control/src/cornelspan_control/watching.py
@@ -68,7 +68,7 @@
     """
     match await read_newer(plane.store, plane.configuration.revision):
         case Ok(newer):
-            plane.store_heard = time.monotonic()
+            plane.last_store_read = time.monotonic()
             if newer is not None:
                 plane.put_in_force(newer)
             return True
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
@@ -59,7 +59,7 @@
         """Whether a life has ended; with 0, whether any life of that name has."""
         if name == self.me.name:
             return incarnation < self.me.incarnation
-        if self.members.gone.get(name, -1) >= incarnation:
+        if self.members.tombstones.get(name, -1) >= incarnation:
             return True
         life = self.life(name)
         return life is not None and 0 < incarnation < life.incarnation
--- a/packages/cornelspan-requests/src/cornelspan_requests/reporting.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/reporting.py
@@ -17,10 +17,10 @@
     plane.on_sealed = counts.seal
     while True:
         await asyncio.sleep(REPORT_SECONDS * random.uniform(0.8, 1.2))
-        plane.tell_relays(counts.message(settings.name, settings.service))
+        plane.send_to_relays(counts.message(settings.name, settings.service))
 
 
 def report_last(counts: ObjectiveCounts, settings: AgentSettings, plane: Plane) -> None:
     """Report a last time, as nothing more will be counted in this life."""
     last = counts.message(settings.name, settings.service, last=True)
-    plane.tell_relays(last)
+    plane.send_to_relays(last)
--- a/packages/cornelspan-standins/src/cornelspan_standins/_control_fleet.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_control_fleet.py
@@ -80,7 +80,7 @@
                 self.members,
                 hello=hello,
                 announcement=lambda: self.announced,
-                renew=lambda incarnation: None,
+                on_new_incarnation=lambda incarnation: None,
                 on_configuration=self._note,
                 seed=self.settings.listen.port,
             )
--- a/tests/control_fleet.py
+++ b/tests/control_fleet.py
@@ -64,7 +64,7 @@
             self.leaving,
         )
 
-    def renew(self, incarnation: int) -> None:
+    def set_incarnation(self, incarnation: int) -> None:
         self.hello = msgspec.structs.replace(self.hello, incarnation=incarnation)
         self.server.hello = self.hello
 
@@ -112,7 +112,7 @@
                 node.members,
                 hello=hello,
                 announcement=node.announcement,
-                renew=node.renew,
+                on_new_incarnation=node.set_incarnation,
                 seed=port,
             )
         )
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -237,12 +237,12 @@
     await start_fleet(fleet)
     agent = fleet.nodes["hub-0"]
     for _ in range(3):
-        await agent.control.relays.meet_one()
+        await agent.control.relays.contact_one_seed()
     revision = await put_profile(operator)
     await until(lambda: fleet.revisions() == {revision})
     await asyncio.sleep(3 * QUICK.relay_silent_seconds)
     relays = agent.control.plane.relays()
-    assert agent.control.plane.silent == {}
+    assert agent.control.plane.silent_relays == {}
     for name in relays:
         assert fleet.nodes[name].control.plane.is_connected("hub-0")
 
--- a/tests/test_paused_relay.py
+++ b/tests/test_paused_relay.py
@@ -119,10 +119,10 @@
                 await fleet.start(name)
             await fleet.start("hub-0", service="order-hub")
             await until(lambda: heads(fleet) == {primary})
-            await until(lambda: fleet.nodes[primary].control.judge.held)
+            await until(lambda: fleet.nodes[primary].control.detector.held_epochs)
             control = fleet.nodes[other].control
             epoch = control.plane.epoch
-            control.judge.held = NeverCleared({"chuo-hall": epoch})
+            control.detector.held_epochs = NeverCleared({"chuo-hall": epoch})
             await fleet.kill(primary)
             await until(lambda: primary not in known_names(fleet), seconds=20)
             await until(lambda: control.plane.epoch > epoch)
