--- a/packages/cornelspan-cli/src/cornelspan_cli/_client.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/_client.py
@@ -14,9 +14,9 @@
 from cornelspan_cli._output import Exit, fail, show_json
 from cornelspan_common.settings import ClientSettings, load_settings
 from cornelspan_common.tls import Tls, open_tls
-from cornelspan_control.asking import ask_fleet
 from cornelspan_control.changes import Change, accept
-from cornelspan_control.records import Accepted
+from cornelspan_control.fleet_status import read_fleet_status
+from cornelspan_control.records import AcceptedChange
 from cornelspan_control.store import StoreClient
 
 DEFAULT_SETTINGS = "cornelspan.json"
@@ -115,13 +115,15 @@
     return await _wait(session, options, accepted)
 
 
-async def _wait(session: Session, options: Changing, accepted: Accepted) -> int:
+async def _wait(session: Session, options: Changing, accepted: AcceptedChange) -> int:
     """Wait until every live daemon has the revision, or say which has not."""
     ends = time.monotonic() + options.wait_seconds
     revision = accepted.revision
     while True:
-        fleet = await ask_fleet(session.client, session.settings, name="cornelspan")
-        behind = fleet.behind(revision)
+        fleet = await read_fleet_status(
+            session.client, session.settings, name="cornelspan"
+        )
+        behind = fleet.members_behind(revision)
         if fleet.answers and not behind:
             print(f"in force on {len(fleet.members())} daemons")
             return Exit.DONE
--- a/packages/cornelspan-cli/src/cornelspan_cli/_output.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/_output.py
@@ -12,10 +12,10 @@
 from cornelspan_common.errors import SettingsError
 from cornelspan_control.changes import (
     Conflict,
+    Indeterminate,
     Invalid,
     NotFound,
     NotWritten,
-    Unsettled,
 )
 
 
@@ -48,10 +48,10 @@
 def fail(error: object) -> int:
     """Say on standard error what went wrong, and return the exit code for it."""
     print(f"cornelspan: {error}", file=sys.stderr)
-    if isinstance(error, Conflict) and error.theirs is not None:
-        theirs = error.theirs.profile or error.theirs.service
+    if isinstance(error, Conflict) and error.current is not None:
+        theirs = error.current.profile or error.current.service
         text = msgspec.json.encode(theirs).decode()
-        print(f"in force, version {error.theirs.change}: {text}", file=sys.stderr)
+        print(f"in force, version {error.current.change}: {text}", file=sys.stderr)
     return exit_code(error)
 
 
@@ -62,7 +62,7 @@
             return Exit.REFUSED
         case Conflict():
             return Exit.CONFLICT
-        case Unsettled():
+        case Indeterminate():
             return Exit.UNKNOWN
         case SettingsError():
             return Exit.USAGE
--- a/packages/cornelspan-cli/src/cornelspan_cli/profiles.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/profiles.py
@@ -18,8 +18,13 @@
 )
 from cornelspan_cli._output import Exit, fail, show_json, show_table
 from cornelspan_control.changes import Invalid, NotFound, new_change
+from cornelspan_control.configuration_reader import (
+    CurrentVersion,
+    read_current,
+    read_history,
+    read_snapshot,
+)
 from cornelspan_control.profiles import Profile
-from cornelspan_control.reading import Seen, history, read_snapshot, see
 from cornelspan_control.records import Version, read_version
 
 HISTORY_LIMIT = 50
@@ -102,7 +107,7 @@
                 return fail(error)
             case Ok(profile):
                 pass
-        match await see(session.client, "profiles", self.name):
+        match await read_current(session.client, "profiles", self.name):
             case Err(error):
                 return fail(error)
             case Ok(seen):
@@ -183,7 +188,7 @@
     async def work(self, session: Session) -> int:
         """Print who changed it when."""
         limit = min(self.limit, HISTORY_LIMIT)
-        match await history(session.client, "profiles", self.name, limit=limit):
+        match await read_history(session.client, "profiles", self.name, limit=limit):
             case Err(error):
                 return fail(error)
             case Ok([]):
@@ -259,9 +264,9 @@
     ]
 
 
-async def _in_force(session: Session, name: str) -> Result[Seen, object]:
-    match await see(session.client, "profiles", name):
-        case Ok(Seen(version=None)):
+async def _in_force(session: Session, name: str) -> Result[CurrentVersion, object]:
+    match await read_current(session.client, "profiles", name):
+        case Ok(CurrentVersion(version=None)):
             return Err(NotFound("profiles", name))
         case seen:
             return seen
@@ -280,7 +285,7 @@
 async def _change(
     session: Session,
     options: Changing,
-    seen: Seen,
+    seen: CurrentVersion,
     profile: Profile | None,
     *,
     base: str = "",
@@ -291,7 +296,7 @@
         profile,
         author=author_of(options),
         base=base or seen.base,
-        floor=seen.floor,
+        min_version=seen.min_version,
     )
     return await make(session, options, change)
 
--- a/packages/cornelspan-cli/src/cornelspan_cli/report.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/report.py
@@ -21,7 +21,7 @@
     StoreError,
 )
 from cornelspan_control.burn import WINDOWS
-from cornelspan_control.reading import read_snapshot
+from cornelspan_control.configuration_reader import read_snapshot
 from cornelspan_control.reports import Report, ServiceReport, build_report
 from cornelspan_control.store import (
     StoreClient,
--- a/packages/cornelspan-cli/src/cornelspan_cli/services.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/services.py
@@ -10,8 +10,12 @@
 from cornelspan_cli._client import Changing, Common, Session, author_of, make
 from cornelspan_cli._output import Exit, fail, show_json, show_table
 from cornelspan_control.changes import Invalid, NotFound, new_change
+from cornelspan_control.configuration_reader import (
+    CurrentVersion,
+    read_current,
+    read_snapshot,
+)
 from cornelspan_control.profiles import Service
-from cornelspan_control.reading import Seen, read_snapshot, see
 
 ServiceName = Annotated[str, cappa.Arg(help="Name of the service.")]
 ProfileName = Annotated[str, cappa.Arg(help="Name of the profile.")]
@@ -93,7 +97,7 @@
             service,
             author=author_of(self),
             base=seen.base,
-            floor=seen.floor,
+            min_version=seen.min_version,
         )
         return await make(session, self, change)
 
@@ -131,9 +135,9 @@
     command: cappa.Subcommands[ListServices | ShowService | UseProfile | CreateService]
 
 
-async def _in_force(session: Session, name: str) -> Result[Seen, object]:
-    match await see(session.client, "services", name):
-        case Ok(Seen(version=None)):
+async def _in_force(session: Session, name: str) -> Result[CurrentVersion, object]:
+    match await read_current(session.client, "services", name):
+        case Ok(CurrentVersion(version=None)):
             return Err(NotFound("services", name))
         case seen:
             return seen
--- a/packages/cornelspan-cli/src/cornelspan_cli/status.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/status.py
@@ -8,7 +8,7 @@
 from cornelspan_cli._client import Common, Session
 from cornelspan_cli._output import Exit, fail, show_json, show_table
 from cornelspan_common.control import MemberStatus
-from cornelspan_control.asking import FleetStatus, ask_fleet
+from cornelspan_control.fleet_status import FleetStatus, read_fleet_status
 from cornelspan_control.records import read_head
 
 COLUMNS = ("name", "role", "data centre", "service", "state", "revision", "behind")
@@ -24,7 +24,9 @@
 
     async def work(self, session: Session) -> int:
         """Ask the relays, and print what they know."""
-        fleet = await ask_fleet(session.client, session.settings, name="cornelspan")
+        fleet = await read_fleet_status(
+            session.client, session.settings, name="cornelspan"
+        )
         warnings = list(fleet.warnings)
         accepted = fleet.revision
         match await read_head(session.client):
@@ -34,7 +36,7 @@
                 warnings.append(f"accepted revision unknown: {error}")
         if not fleet.answers:
             return fail(f"no relay answers; {'; '.join(warnings)}")
-        behind = fleet.behind(accepted)
+        behind = fleet.members_behind(accepted)
         if self.json:
             _print_json(fleet, accepted, warnings)
         else:
--- a/packages/cornelspan-control/src/cornelspan_control/changes.py
+++ b/packages/cornelspan-control/src/cornelspan_control/changes.py
@@ -27,11 +27,11 @@
 )
 from cornelspan_control.profiles import Profile, Service
 from cornelspan_control.records import (
-    HEAD,
-    INDEX,
+    HEAD_NAME,
+    INDEX_PREFIX,
     KEPT_VERSIONS,
     RECENT_CHANGES,
-    Accepted,
+    AcceptedChange,
     Head,
     Index,
     Kind,
@@ -44,14 +44,14 @@
     version_name,
 )
 from cornelspan_control.store import (
-    NO_OBJECT,
+    NO_VERSION,
     StoreClient,
 )
 
-ID_BYTES = 8
-SETTLE_SECONDS = 20.0
-PAUSE_SECONDS = 0.01
-PAUSE_LIMIT_SECONDS = 1.0
+CHANGE_ID_BYTES = 8
+TIMEOUT_SECONDS = 20.0
+BACKOFF_SECONDS = 0.01
+BACKOFF_LIMIT_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,22 +79,22 @@
 class Conflict:
     """Somebody else changed the same profile or service first.
 
-    ``theirs`` is the version now in force, None if they deleted it.
+    ``current`` is the version now in force, None if they deleted it.
     """
 
     kind: Kind
     name: str
-    theirs: Version | None
+    current: Version | None
 
     def __str__(self) -> str:
         what = f"{self.kind[:-1]} {self.name}"
-        if self.theirs is None:
+        if self.current is None:
             return f"{what} was deleted meanwhile"
-        return f"{what} was changed meanwhile by {self.theirs.author}"
+        return f"{what} was changed meanwhile by {self.current.author}"
 
 
 @dataclass(frozen=True, slots=True)
-class Unsettled:
+class Indeterminate:
     """Whether the change took effect is unknown; its id will settle it later."""
 
     change: str
@@ -114,7 +114,7 @@
         return f"not accepted: {self.reason}"
 
 
-ChangeError = Invalid | NotFound | Conflict | Unsettled | NotWritten
+ChangeError = Invalid | NotFound | Conflict | Indeterminate | NotWritten
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +122,7 @@
     """What an operator wants: a new value of a profile or service, None to delete it.
 
     ``base`` is the version that the operator saw, "" when it must not exist yet, and
-    ``floor`` the head's object version it was seen at.
+    ``min_version`` the head's object version it was seen at.
     """
 
     kind: Kind
@@ -132,7 +132,7 @@
     base: str
     change: str
     at: float
-    floor: int = NO_OBJECT
+    min_version: int = NO_VERSION
 
 
 def new_change(
@@ -142,16 +142,16 @@
     *,
     author: str,
     base: str,
-    floor: int = NO_OBJECT,
+    min_version: int = NO_VERSION,
 ) -> Change:
     """Return a change with an id of its own."""
-    change = secrets.token_hex(ID_BYTES)
-    return Change(kind, name, value, author, base, change, time.time(), floor)
+    change = secrets.token_hex(CHANGE_ID_BYTES)
+    return Change(kind, name, value, author, base, change, time.time(), min_version)
 
 
 async def accept(
-    client: StoreClient, change: Change, *, settle_seconds: float = SETTLE_SECONDS
-) -> Result[Accepted, ChangeError]:
+    client: StoreClient, change: Change, *, timeout_seconds: float = TIMEOUT_SECONDS
+) -> Result[AcceptedChange, ChangeError]:
     """Bring a change into the configuration, exactly once.
 
     A change of another profile or service that comes in between is no conflict; the
@@ -165,51 +165,53 @@
     Returns:
         The accepted change, or why it was not accepted.
     """
-    attempt = _Attempt(client, change, floor=change.floor)
-    pause = PAUSE_SECONDS
-    ends = time.monotonic() + settle_seconds
+    attempt = _ChangeAttempt(client, change, min_version=change.min_version)
+    backoff = BACKOFF_SECONDS
+    deadline = time.monotonic() + timeout_seconds
     while True:
         outcome = await attempt.run()
         if outcome is not None:
             return outcome
-        if time.monotonic() + pause > ends:
-            return Err(attempt.gave_up())
-        await asyncio.sleep(pause * client.random.uniform(0.5, 1.0))
-        pause = min(2 * pause, PAUSE_LIMIT_SECONDS)
+        if time.monotonic() + backoff > deadline:
+            return Err(attempt.timeout_error())
+        await asyncio.sleep(backoff * client.random.uniform(0.5, 1.0))
+        backoff = min(2 * backoff, BACKOFF_LIMIT_SECONDS)
 
 
-class _Attempt:
+class _ChangeAttempt:
     """One change on its way: what is known of the head, and what was sent."""
 
-    def __init__(self, client: StoreClient, change: Change, *, floor: int) -> None:
+    def __init__(
+        self, client: StoreClient, change: Change, *, min_version: int
+    ) -> None:
         self.client = client
         self.change = change
-        self.floor = floor
-        self.sent = False
-        self.sent_revision = 0
+        self.min_version = min_version
+        self.head_sent = False
+        self.first_sent_revision = 0
         self.reason = ""
 
-    async def run(self) -> Result[Accepted, ChangeError] | None:
+    async def run(self) -> Result[AcceptedChange, ChangeError] | None:
         """Try once; None if it has to be tried again."""
-        match await read_head(self.client, floor=self.floor):
+        match await read_head(self.client, min_version=self.min_version):
             case Err(error):
-                return self.again(error)
+                return self.record_failure(error)
             case Ok((head, version)):
-                self.floor = version
-        if settled := head.find(self.change.change):
-            return Ok(settled)
-        if self.sent and head.since(self.sent_revision) is None:
-            return Err(Unsettled(self.change.change, "too many changes came since"))
+                self.min_version = version
+        if accepted := head.find(self.change.change):
+            return Ok(accepted)
+        if self.head_sent and head.changes_since(self.first_sent_revision) is None:
+            return Err(Indeterminate(self.change.change, "too many changes came since"))
         match await read_index(self.client, head):
             case Err(error):
-                return self.again(error)
+                return self.record_failure(error)
             case Ok(index):
                 pass
-        if problem := await self.check(index):
+        if problem := await self.validate(index):
             return Err(problem)
         return await self.write(head, index, version)
 
-    async def check(self, index: Index) -> ChangeError | None:
+    async def validate(self, index: Index) -> ChangeError | None:
         """Validate against what is in force now."""
         change = self.change
         current = index.version(change.kind, change.name)
@@ -218,43 +220,47 @@
         if change.value is None and not current:
             return NotFound(change.kind, change.name)
         if change.kind == "profiles":
-            return _check_profile(change, index)
-        return _check_service(change, index)
+            return _validate_profile(change, index)
+        return _validate_service(change, index)
 
     async def conflict(self, current: str) -> Conflict:
         """Return the conflict with the other's version in it."""
         kind, name = self.change.kind, self.change.name
         if not current:
             return Conflict(kind, name, None)
-        theirs = await read_version(self.client, kind, name, current)
-        return Conflict(kind, name, theirs.ok())
+        read = await read_version(self.client, kind, name, current)
+        return Conflict(kind, name, read.ok())
 
     async def write(
         self, head: Head, index: Index, version: int
-    ) -> Result[Accepted, ChangeError] | None:
+    ) -> Result[AcceptedChange, ChangeError] | None:
         """Write version and index, then move the head."""
         change = self.change
-        dropped: tuple[str, ...] = ()
+        expired: tuple[str, ...] = ()
         if change.value is not None:
             match await self.ancestors():
                 case Err(error):
-                    return self.again(error)
+                    return self.record_failure(error)
                 case Ok(ancestors):
-                    dropped = ancestors[KEPT_VERSIONS:]
+                    expired = ancestors[KEPT_VERSIONS:]
             record = _version_record(change, ancestors[:KEPT_VERSIONS])
             name = version_name(change.kind, change.name, change.change)
             if error := await self.create(name, record):
-                return self.again(error)
+                return self.record_failure(error)
         revision = head.revision + 1
         index_id = f"{change.change}-{revision}"
-        if error := await self.create(INDEX + index_id, _changed(index, change)):
-            return self.again(error)
-        accepted = _accepted(change, revision)
-        new_head = _next_head(head, accepted, index_id)
-        self.sent_revision = self.sent_revision if self.sent else head.revision
-        moved = await self.move(new_head, version)
-        if moved:
-            await self.clean_up(head, dropped)
+        if error := await self.create(
+            INDEX_PREFIX + index_id, _index_with(index, change)
+        ):
+            return self.record_failure(error)
+        accepted = _accepted_change(change, revision)
+        new_head = _head_with(head, accepted, index_id)
+        self.first_sent_revision = (
+            self.first_sent_revision if self.head_sent else head.revision
+        )
+        updated = await self.update_head(new_head, version)
+        if updated:
+            await self.clean_up(head, expired)
             return Ok(accepted)
         return None
 
@@ -269,64 +275,70 @@
     async def create(self, name: str, record: Version | Index) -> object | None:
         """Write an object that never changes; one that is there already is ours."""
         value = msgspec.json.encode(record)
-        match await self.client.put(name, value, expected=NO_OBJECT):
+        match await self.client.put(name, value, expected=NO_VERSION):
             case Ok(_) | Err(VersionConflict()):
                 return None
             case Err(error):
                 return error
 
-    async def move(self, head: Head, version: int) -> bool:
+    async def update_head(self, head: Head, version: int) -> bool:
         """Move the head; False if it did not, or nobody knows."""
         value = msgspec.json.encode(head)
-        match await self.client.put(HEAD, value, expected=version):
+        match await self.client.put(HEAD_NAME, value, expected=version):
             case Ok(_):
                 return True
             case Err(VersionConflict() as error):
-                self.floor = max(self.floor, error.version)
+                self.min_version = max(self.min_version, error.version)
                 self.reason = str(error)
             case Err(OutcomeUnknown() as error):
-                self.sent = True
+                self.head_sent = True
                 self.reason = str(error)
             case Err(error):
                 self.reason = str(error)
         return False
 
-    async def clean_up(self, head: Head, dropped: tuple[str, ...]) -> None:
+    async def clean_up(self, head: Head, expired: tuple[str, ...]) -> None:
         """Delete what is no longer kept; what stays behind by a failure is harmless."""
         change = self.change
-        for old in dropped:
+        for old in expired:
             await self.client.delete(version_name(change.kind, change.name, old))
         if len(head.recent) >= RECENT_CHANGES:
             oldest = head.recent[0]
-            await self.client.delete(f"{INDEX}{oldest.change}-{oldest.revision}")
+            await self.client.delete(f"{INDEX_PREFIX}{oldest.change}-{oldest.revision}")
 
-    def again(self, error: object) -> Result[Accepted, ChangeError] | None:
+    def record_failure(
+        self, error: object
+    ) -> Result[AcceptedChange, ChangeError] | None:
         """Note why this try failed; a refusal for good ends the change."""
         self.reason = str(error)
-        if isinstance(error, CallRefused) and not error.retry_seconds and not self.sent:
+        if (
+            isinstance(error, CallRefused)
+            and not error.retry_seconds
+            and not self.head_sent
+        ):
             return Err(NotWritten(self.reason))
         return None
 
-    def gave_up(self) -> ChangeError:
+    def timeout_error(self) -> ChangeError:
         """Return the error for a change that found no clear answer in time."""
-        if self.sent:
-            return Unsettled(self.change.change, self.reason)
+        if self.head_sent:
+            return Indeterminate(self.change.change, self.reason)
         return NotWritten(self.reason)
 
 
-def _check_profile(change: Change, index: Index) -> ChangeError | None:
+def _validate_profile(change: Change, index: Index) -> ChangeError | None:
     if change.value is not None:
         return None
-    users = [
+    services = [
         n for n, entry in index.services.items() if entry.service.profile == change.name
     ]
-    if users:
-        names = ", ".join(sorted(users))
+    if services:
+        names = ", ".join(sorted(services))
         return Invalid(f"profile {change.name} is in use by {names}")
     return None
 
 
-def _check_service(change: Change, index: Index) -> ChangeError | None:
+def _validate_service(change: Change, index: Index) -> ChangeError | None:
     if not isinstance(change.value, Service):
         return None
     service = change.value
@@ -357,7 +369,7 @@
     )
 
 
-def _changed(index: Index, change: Change) -> Index:
+def _index_with(index: Index, change: Change) -> Index:
     """Return the index with the change in it."""
     profiles, services = dict(index.profiles), dict(index.services)
     match change.value:
@@ -373,8 +385,8 @@
     return Index(profiles=profiles, services=services)
 
 
-def _accepted(change: Change, revision: int) -> Accepted:
-    return Accepted(
+def _accepted_change(change: Change, revision: int) -> AcceptedChange:
+    return AcceptedChange(
         revision=revision,
         change=change.change,
         author=change.author,
@@ -385,6 +397,6 @@
     )
 
 
-def _next_head(head: Head, accepted: Accepted, index: str) -> Head:
+def _head_with(head: Head, accepted: AcceptedChange, index: str) -> Head:
     recent = (*head.recent, accepted)[-RECENT_CHANGES:]
     return Head(revision=accepted.revision, index=index, recent=recent)
--- a/packages/cornelspan-control/src/cornelspan_control/reading.py
+++ b/packages/cornelspan-control/src/cornelspan_control/configuration_reader.py
@@ -12,7 +12,7 @@
 )
 from cornelspan_control.configuration import Delta, Snapshot
 from cornelspan_control.records import (
-    Accepted,
+    AcceptedChange,
     Head,
     Kind,
     Version,
@@ -21,7 +21,7 @@
     read_version,
 )
 from cornelspan_control.store import (
-    NO_OBJECT,
+    NO_VERSION,
     StoreClient,
 )
 
@@ -29,14 +29,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class CurrentVersion:
     """A profile or service as an operator sees it, to base a change on.
 
     ``version`` is None if there is none of that name.
     """
 
     head: Head
-    floor: int
+    min_version: int
     version: Version | None
 
     @property
@@ -45,11 +45,11 @@
         return self.version.change if self.version else ""
 
 
-async def see(
-    client: StoreClient, kind: Kind, name: str, *, floor: int = NO_OBJECT
-) -> Result[Seen, ReadError]:
+async def read_current(
+    client: StoreClient, kind: Kind, name: str, *, min_version: int = NO_VERSION
+) -> Result[CurrentVersion, ReadError]:
     """Read one profile or service as in force now."""
-    match await read_head(client, floor=floor):
+    match await read_head(client, min_version=min_version):
         case Err(error):
             return Err(error)
         case Ok((head, object_version)):
@@ -60,19 +60,19 @@
         case Ok(index):
             change = index.version(kind, name)
     if not change:
-        return Ok(Seen(head, object_version, None))
+        return Ok(CurrentVersion(head, object_version, None))
     read = await read_version(client, kind, name, change)
-    return read.map(lambda version: Seen(head, object_version, version))
+    return read.map(lambda version: CurrentVersion(head, object_version, version))
 
 
-async def history(
+async def read_history(
     client: StoreClient, kind: Kind, name: str, *, limit: int
 ) -> Result[list[Version], ReadError]:
     """Return the versions of a profile or service, newest first."""
-    match await see(client, kind, name):
+    match await read_current(client, kind, name):
         case Err(error):
             return Err(error)
-        case Ok(Seen(version=None)):
+        case Ok(CurrentVersion(version=None)):
             return Ok([])
         case Ok(seen):
             newest = seen.version
@@ -83,10 +83,10 @@
 
 
 async def read_snapshot(
-    client: StoreClient, *, floor: int = NO_OBJECT
+    client: StoreClient, *, min_version: int = NO_VERSION
 ) -> Result[Snapshot, ReadError]:
     """Read the whole configuration at the head's revision."""
-    match await read_head(client, floor=floor):
+    match await read_head(client, min_version=min_version):
         case Err(error):
             return Err(error)
         case Ok((head, _)):
@@ -110,7 +110,7 @@
             pass
     if head.revision <= revision:
         return Ok(None)
-    changes = head.since(revision) if revision else None
+    changes = head.changes_since(revision) if revision else None
     if changes is None:
         return await _snapshot_at(client, head)
     return await _delta(client, revision, head.revision, changes)
@@ -128,7 +128,7 @@
 
 
 async def _delta(
-    client: StoreClient, base: int, revision: int, changes: Iterable[Accepted]
+    client: StoreClient, base: int, revision: int, changes: Iterable[AcceptedChange]
 ) -> Result[Delta, ReadError]:
     """Read the newest version of each thing that changed."""
     newest = {(accepted.kind, accepted.name): accepted for accepted in changes}
--- a/packages/cornelspan-control/src/cornelspan_control/control_plane.py
+++ b/packages/cornelspan-control/src/cornelspan_control/control_plane.py
@@ -20,10 +20,10 @@
 from cornelspan_control.members import Members
 from cornelspan_control.plane import Callback, Plane
 from cornelspan_control.relay_links import RelayLinks
-from cornelspan_control.roster import Publisher, read_rosters
+from cornelspan_control.roster import RosterPublisher, read_rosters
 from cornelspan_control.store import StoreClient
+from cornelspan_control.store_watch import poll_without_relays, watch_store
 from cornelspan_control.subscribers import send_heartbeats, serve_subscriber
-from cornelspan_control.watching import fall_back, watch_store
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
     plane: Plane
     detector: FailureDetector
     relays: RelayLinks
-    publisher: Publisher
+    publisher: RosterPublisher
 
     async def serve(self, peer: Peer) -> None:
         """Serve one process that has connected here."""
@@ -104,7 +104,7 @@
     detector = FailureDetector(plane)
     relays = RelayLinks(plane, detector)
     plane.send_to_relays = relays.send
-    return Control(plane, detector, relays, Publisher(plane))
+    return Control(plane, detector, relays, RosterPublisher(plane))
 
 
 def _start(control: Control) -> None:
@@ -113,7 +113,7 @@
     relays = control.relays
     tasks.start(relays.run(), name="follow relays")
     tasks.start(relays.contact_seeds(), name="meet seeds")
-    tasks.start(fall_back(plane, lambda: relays.connected), name="fall back")
+    tasks.start(poll_without_relays(plane, lambda: relays.connected), name="fall back")
     tasks.start(read_rosters(plane), name="read members")
     if plane.announcement().role == "balancer":
         tasks.start(watch_store(plane), name="watch store")
--- a/packages/cornelspan-control/src/cornelspan_control/asking.py
+++ b/packages/cornelspan-control/src/cornelspan_control/fleet_status.py
@@ -14,10 +14,10 @@
 from cornelspan_common.streams import PROTOCOL, batches, open_peer
 from cornelspan_control.members import Members
 from cornelspan_control.relay_selection import select_relays
-from cornelspan_control.roster import MEMBERS, Roster
+from cornelspan_control.roster import ROSTER_PREFIX, Roster
 from cornelspan_control.store import StoreClient
 
-ANSWER_SECONDS = 3.0
+STATUS_TIMEOUT_SECONDS = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,22 +38,22 @@
         for answer in self.answers:
             for status in answer.members:
                 known = newest.get(status.member.name)
-                if known is None or _fresher(status, known):
+                if known is None or _is_newer(status, known):
                     newest[status.member.name] = status
         return [newest[name] for name in sorted(newest)]
 
-    def behind(self, revision: int) -> list[str]:
+    def members_behind(self, revision: int) -> list[str]:
         """Return the members that don't have a revision in force, by name."""
         return [s.member.name for s in self.members() if s.revision < revision]
 
 
-def _fresher(status: MemberStatus, known: MemberStatus) -> bool:
+def _is_newer(status: MemberStatus, known: MemberStatus) -> bool:
     if status.member.incarnation != known.member.incarnation:
         return status.member.incarnation > known.member.incarnation
     return status.revision > known.revision
 
 
-async def ask_fleet(
+async def read_fleet_status(
     client: StoreClient, settings: ClientSettings, *, name: str
 ) -> FleetStatus:
     """Ask one relay of each data centre, and the balancers named in the settings.
@@ -65,24 +65,28 @@
     """
     members, warnings = await _read_members(client)
     centres = members.datacentres()
-    asked = [_ask_relays(settings, client, members, each, name) for each in centres]
-    asked += [_ask_named(settings, client, each, name) for each in settings.balancers]
+    requests = [
+        _datacentre_status(settings, client, members, each, name) for each in centres
+    ]
+    requests += [
+        _balancer_status(settings, client, each, name) for each in settings.balancers
+    ]
     answers: dict[str, Status] = {}
-    for answer in await asyncio.gather(*asked):
+    for answer in await asyncio.gather(*requests):
         match answer:
             case Ok(status):
                 answers[status.name] = status
                 warnings += status.warnings
             case Err(error):
                 warnings.append(str(error))
-    if not asked:
+    if not requests:
         warnings.append("no balancer is known; name one in the settings")
     return FleetStatus(tuple(answers.values()), tuple(dict.fromkeys(warnings)))
 
 
 async def _read_members(client: StoreClient) -> tuple[Members, list[str]]:
     members = Members()
-    match await client.list_objects(MEMBERS):
+    match await client.list_objects(ROSTER_PREFIX):
         case Err(error):
             return members, [str(error)]
         case Ok(listing):
@@ -105,7 +109,7 @@
         return ()
 
 
-async def _ask_relays(
+async def _datacentre_status(
     settings: ClientSettings,
     client: StoreClient,
     members: Members,
@@ -117,17 +121,17 @@
     for relay in select_relays(members, datacentre):
         member = members.known[relay]
         address = Address(host=member.host, port=member.port)
-        answer = await _ask_named(settings, client, address, name)
+        answer = await _balancer_status(settings, client, address, name)
         if answer.is_ok():
             return answer
     return answer
 
 
-async def _ask_named(
+async def _balancer_status(
     settings: ClientSettings, client: StoreClient, address: Address, name: str
 ) -> Result[Status, StreamError]:
-    life = time.time_ns() // 1_000_000
-    hello = Hello(PROTOCOL, "client", name, "", life)
+    incarnation = time.time_ns() // 1_000_000
+    hello = Hello(PROTOCOL, "client", name, "", incarnation)
     async with open_peer(address, hello, settings.streams, tls=client.tls) as opened:
         match opened:
             case Err(error):
@@ -135,7 +139,7 @@
             case Ok(peer):
                 peer.send(StatusRequest())
         try:
-            async with asyncio.timeout(ANSWER_SECONDS):
+            async with asyncio.timeout(STATUS_TIMEOUT_SECONDS):
                 async for batch in batches(peer):
                     for message in batch:
                         if isinstance(message, Status):
--- a/packages/cornelspan-control/src/cornelspan_control/records.py
+++ b/packages/cornelspan-control/src/cornelspan_control/records.py
@@ -23,19 +23,19 @@
 )
 from cornelspan_control.profiles import Profile, Service
 from cornelspan_control.store import (
-    NO_OBJECT,
+    NO_VERSION,
     StoreClient,
 )
 
-HEAD = "configuration/head"
-INDEX = "configuration/index/"
+HEAD_NAME = "configuration/head"
+INDEX_PREFIX = "configuration/index/"
 RECENT_CHANGES = 64
 KEPT_VERSIONS = 50
 
 Kind = Literal["profiles", "services"]
 
 
-class Accepted(Checked, frozen=True, kw_only=True):
+class AcceptedChange(Checked, frozen=True, kw_only=True):
     """One accepted change: what it made, who asked for it, and when.
 
     ``change`` is the id of the change and of the version that it made. ``at`` is in
@@ -56,16 +56,16 @@
 
     revision: int = 0
     index: str = ""
-    recent: tuple[Accepted, ...] = ()
+    recent: tuple[AcceptedChange, ...] = ()
 
-    def find(self, change: str) -> Accepted | None:
+    def find(self, change: str) -> AcceptedChange | None:
         """Return a change if it is among the newest ones accepted."""
         for accepted in self.recent:
             if accepted.change == change:
                 return accepted
         return None
 
-    def since(self, revision: int) -> tuple[Accepted, ...] | None:
+    def changes_since(self, revision: int) -> tuple[AcceptedChange, ...] | None:
         """Return the changes after a revision; None if they reach back too far."""
         oldest = self.recent[0].revision if self.recent else self.revision + 1
         if revision < oldest - 1:
@@ -128,7 +128,7 @@
 
 
 async def read_head(
-    client: StoreClient, *, floor: int = NO_OBJECT
+    client: StoreClient, *, min_version: int = NO_VERSION
 ) -> Result[tuple[Head, int], ReadError]:
     """Read the head and its object version.
 
@@ -136,26 +136,26 @@
         client: The store.
         floor: Object version known to exist; an older answer is stale, and an error.
     """
-    match await client.get(HEAD):
-        case Err(ObjectMissing()) if floor == NO_OBJECT:
-            return Ok((Head(), NO_OBJECT))
+    match await client.get(HEAD_NAME):
+        case Err(ObjectMissing()) if min_version == NO_VERSION:
+            return Ok((Head(), NO_VERSION))
         case Err(ObjectMissing()):
             return Err(StoreUnavailable("the store has lost the head or is stale"))
         case Err(error):
             return Err(error)
         case Ok(found):
             pass
-    if found.version < floor:
+    if found.version < min_version:
         return Err(StoreUnavailable(f"stale read of the head: version {found.version}"))
-    return _decoded(found.value, Head).map(lambda head: (head, found.version))
+    return _decode(found.value, Head).map(lambda head: (head, found.version))
 
 
 async def read_index(client: StoreClient, head: Head) -> Result[Index, ReadError]:
     """Read the index that a head names."""
     if not head.index:
         return Ok(Index())
-    found = await client.get(INDEX + head.index)
-    return found.and_then(lambda stored: _decoded(stored.value, Index))
+    found = await client.get(INDEX_PREFIX + head.index)
+    return found.and_then(lambda stored: _decode(stored.value, Index))
 
 
 async def read_version(
@@ -163,10 +163,10 @@
 ) -> Result[Version, ReadError]:
     """Read one version of a profile or service."""
     found = await client.get(version_name(kind, name, change))
-    return found.and_then(lambda stored: _decoded(stored.value, Version))
+    return found.and_then(lambda stored: _decode(stored.value, Version))
 
 
-def _decoded(value: bytes, kind: RecordType) -> Result:
+def _decode(value: bytes, kind: RecordType) -> Result:
     try:
         return Ok(msgspec.json.decode(value, type=kind))
     except msgspec.DecodeError as error:
--- a/packages/cornelspan-control/src/cornelspan_control/roster.py
+++ b/packages/cornelspan-control/src/cornelspan_control/roster.py
@@ -19,12 +19,12 @@
 )
 from cornelspan_control.plane import Plane
 from cornelspan_control.store import (
-    NO_OBJECT,
+    NO_VERSION,
 )
 
-MEMBERS = "members/"
-READ_ALL_SECONDS = 60.0
-FIRST_SECONDS = 2.0
+ROSTER_PREFIX = "members/"
+READ_INTERVAL_SECONDS = 60.0
+INITIAL_READ_SECONDS = 2.0
 
 log = get_log(__name__)
 
@@ -37,10 +37,10 @@
     members: tuple[Announce, ...]
 
 
-class Publisher:
+class RosterPublisher:
     """What this relay knows of the objects that it writes, by data centre.
 
-    ``writes`` counts the writes that took effect, ``fenced`` those that another
+    ``writes`` counts the writes that took effect, ``conflicts`` those that another
     relay's write had overtaken.
     """
 
@@ -49,9 +49,9 @@
         self.versions: dict[str, int] = {}
         self.written: dict[str, tuple[int, int]] = {}
         self.writes = 0
-        self.fenced = 0
+        self.conflicts = 0
 
-    def content(self, datacentre: str) -> tuple[int, int]:
+    def _state(self, datacentre: str) -> tuple[int, int]:
         """Return what tells whether an object has to be written."""
         plane = self.plane
         return plane.epochs.get(datacentre, 0), plane.members.digest(datacentre)
@@ -63,39 +63,39 @@
             jitter = self.plane.store.random.uniform(0.5, 1.5)
             await asyncio.sleep(control.publish_seconds * jitter)
             for datacentre in self.plane.primary_datacentres():
-                if self.content(datacentre) != self.written.get(datacentre):
+                if self._state(datacentre) != self.written.get(datacentre):
                     await self._write(datacentre)
 
     async def _write(self, datacentre: str) -> None:
         plane = self.plane
-        content = self.content(datacentre)
+        _state = self._state(datacentre)
         roster = Roster(
-            epoch=content[0],
+            epoch=_state[0],
             writer=plane.name,
             members=tuple(plane.members.of_datacentre(datacentre)),
         )
-        name = MEMBERS + datacentre
-        version = self.versions.get(datacentre, NO_OBJECT)
+        name = ROSTER_PREFIX + datacentre
+        version = self.versions.get(datacentre, NO_VERSION)
         put = await plane.store.put(name, msgspec.json.encode(roster), expected=version)
         match put:
             case Ok(written):
                 self.versions[datacentre] = written
-                self.written[datacentre] = content
+                self.written[datacentre] = _state
                 self.writes += 1
             case Err(VersionConflict()):
-                self.fenced += 1
-                await self._learn(datacentre)
+                self.conflicts += 1
+                await self._reload(datacentre)
             case Err(error):
                 log.info("members not written", extra={"why": str(error)})
 
-    async def _learn(self, datacentre: str) -> None:
+    async def _reload(self, datacentre: str) -> None:
         """Read what another relay wrote, or this one with an answer that was lost."""
-        match await self.plane.store.get(MEMBERS + datacentre):
+        match await self.plane.store.get(ROSTER_PREFIX + datacentre):
             case Ok(found):
                 self.versions[datacentre] = found.version
-                take_roster(self.plane, datacentre, found.value)
+                apply_roster(self.plane, datacentre, found.value)
             case Err(ObjectMissing()):
-                self.versions[datacentre] = NO_OBJECT
+                self.versions[datacentre] = NO_VERSION
             case Err(error):
                 log.info("members not read", extra={"why": str(error)})
 
@@ -106,19 +106,19 @@
     A process that has met nobody reads them too. It waits a moment first: a seed tells
     the same without a call, and a restart of a whole site would bring two from each.
     """
-    pause = FIRST_SECONDS
+    interval = INITIAL_READ_SECONDS
     while True:
-        await asyncio.sleep(pause * plane.store.random.uniform(0.5, 1.5))
-        pause = READ_ALL_SECONDS
+        await asyncio.sleep(interval * plane.store.random.uniform(0.5, 1.5))
+        interval = READ_INTERVAL_SECONDS
         if plane.is_relay:
             await _read_all(plane)
         elif len(plane.members.known) <= 1:
-            pause = FIRST_SECONDS
+            interval = INITIAL_READ_SECONDS
             await _read_all(plane)
 
 
 async def _read_all(plane: Plane) -> None:
-    match await plane.store.list_objects(MEMBERS):
+    match await plane.store.list_objects(ROSTER_PREFIX):
         case Ok(listing):
             names = [name for name, _ in listing.objects]
         case Err(error):
@@ -127,12 +127,12 @@
     for name in names:
         match await plane.store.get(name):
             case Ok(found):
-                take_roster(plane, name.removeprefix(MEMBERS), found.value)
+                apply_roster(plane, name.removeprefix(ROSTER_PREFIX), found.value)
             case Err(error):
                 log.info("members not read", extra={"why": str(error)})
 
 
-def take_roster(plane: Plane, datacentre: str, value: bytes) -> None:
+def apply_roster(plane: Plane, datacentre: str, value: bytes) -> None:
     """Take in the members of an object; who died since is found out by its relays."""
     try:
         roster = msgspec.json.decode(value, type=Roster)
@@ -140,11 +140,11 @@
         log.warning("members refused", extra={"why": str(error)})
         return
     own = plane.announcement().service
-    members = tuple(m for m in roster.members if not own or _concerns(plane, m))
+    members = tuple(m for m in roster.members if not own or _is_relevant(plane, m))
     plane.apply_membership(Membership(datacentre, roster.epoch, members, ()))
 
 
-def _concerns(plane: Plane, member: Announce) -> bool:
+def _is_relevant(plane: Plane, member: Announce) -> bool:
     """Whether an agent needs to know of a member."""
     if member.role == "balancer":
         return member.datacentre == plane.datacentre
--- a/packages/cornelspan-control/src/cornelspan_control/store.py
+++ b/packages/cornelspan-control/src/cornelspan_control/store.py
@@ -33,7 +33,7 @@
 from cornelspan_common.tls import reason_of
 
 WATCH_GRACE_SECONDS = 2.0
-NO_OBJECT = 0
+NO_VERSION = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     objects: tuple[tuple[str, int], ...]
 
 
-class Watched(msgspec.Struct, frozen=True):
+class WatchResult(msgspec.Struct, frozen=True):
     """What a watch saw: names that changed, up to the store's version."""
 
     version: int
@@ -85,13 +85,13 @@
         )
         self.reads = 0
         self.writes = 0
-        self.lost = 0
+        self.lost_answers = 0
         self.received_bytes = 0
 
     @property
     def failures(self) -> int:
         """Calls that found no store or whose answer was lost."""
-        return self.lost + self.caller.unreached
+        return self.lost_answers + self.caller.unreached
 
     def close(self) -> None:
         """End all calls."""
@@ -101,29 +101,29 @@
         """Read an object. The store may answer with an older value."""
         match await self._read(self._object_path(name), name):
             case Ok(response):
-                return _stored(response, name)
+                return _stored_object(response, name)
             case Err(error):
                 return Err(error)
 
     async def list_objects(self, prefix: str) -> Result[Listing, ReadError]:
         """List the objects under a prefix."""
         path = "/list?" + urlencode({"prefix": prefix})
-        return _decoded(await self._read(path, prefix), Listing)
+        return _decode(await self._read(path, prefix), Listing)
 
     async def watch(
         self, prefix: str, *, after: int, seconds: float
-    ) -> Result[Watched, ReadError]:
+    ) -> Result[WatchResult, ReadError]:
         """Wait until something under a prefix changes, or the time is up.
 
         Args:
             prefix: Which objects to watch.
-            after: The store's version of the last ``Watched`` or ``Listing``.
+            after: The store's version of the last ``WatchResult`` or ``Listing``.
             seconds: How long the store holds the call.
         """
         query = {"prefix": prefix, "after": after, "seconds": seconds}
         path = "/watch?" + urlencode(query)
         limit = seconds + WATCH_GRACE_SECONDS
-        return _decoded(await self._read(path, prefix, seconds=limit), Watched)
+        return _decode(await self._read(path, prefix, seconds=limit), WatchResult)
 
     async def put(
         self, name: str, value: bytes, *, expected: int | None = None
@@ -155,9 +155,9 @@
         match sent:
             case Err(error) if isinstance(error, CallRefused | StoreUnavailable):
                 return Err(error)
-            case Err(lost):
-                self.lost += 1
-                return Err(StoreUnavailable(reason_of(lost)))
+            case Err(lost_answers):
+                self.lost_answers += 1
+                return Err(StoreUnavailable(reason_of(lost_answers)))
             case Ok(response):
                 pass
         if response.code == 404:
@@ -165,39 +165,42 @@
         if response.code == 200:
             self.received_bytes += len(response.body)
             return Ok(response)
-        return Err(_refusal(response))
+        return Err(_call_refused(response))
 
     async def _write(
         self, method: str, name: str, value: bytes | None, expected: int | None
     ) -> Result[int, WriteError]:
         self.writes += 1
         match await self.caller.send(
-            method, self._object_path(name), body=value, headers=_condition(expected)
+            method,
+            self._object_path(name),
+            body=value,
+            headers=_condition_headers(expected),
         ):
             case Err(error) if isinstance(error, CallRefused | StoreUnavailable):
                 return Err(error)
-            case Err(lost):
-                self.lost += 1
-                return Err(OutcomeUnknown(name, reason_of(lost)))
+            case Err(lost_answers):
+                self.lost_answers += 1
+                return Err(OutcomeUnknown(name, reason_of(lost_answers)))
             case Ok(response):
-                return _written(response, name)
+                return _write_result(response, name)
 
     def _object_path(self, name: str) -> str:
         return "/objects/" + quote(name)
 
 
-def _condition(expected: int | None) -> dict[str, str]:
+def _condition_headers(expected: int | None) -> dict[str, str]:
     if expected is None:
         return {}
-    if expected == NO_OBJECT:
+    if expected == NO_VERSION:
         return {"If-None-Match": "*"}
     return {"If-Match": f'"{expected}"'}
 
 
-def _written(response: HTTPResponse, name: str) -> Result[int, WriteError]:
+def _write_result(response: HTTPResponse, name: str) -> Result[int, WriteError]:
     match response.code:
         case 200:
-            version = _version_of(response)
+            version = _reply_version(response)
             if version is None:
                 # The write was taken, but as which version nobody can tell; reading
                 # back settles it as it does a lost answer.
@@ -205,39 +208,39 @@
             return Ok(version)
         case 412:
             # An unknown version is told as none: whoever got the conflict reads anew.
-            return Err(VersionConflict(name, _version_of(response) or NO_OBJECT))
+            return Err(VersionConflict(name, _reply_version(response) or NO_VERSION))
         case 413 | 429:
-            return Err(_refusal(response))
+            return Err(_call_refused(response))
         case code:
             # A gateway's error says nothing of what the store behind it did.
             return Err(OutcomeUnknown(name, f"the store answered {code}"))
 
 
-def _refusal(response: HTTPResponse) -> CallRefused:
+def _call_refused(response: HTTPResponse) -> CallRefused:
     wait = response.headers.get("Retry-After", "0")
     seconds = float(wait) if wait.isdecimal() else 0.0
     return CallRefused(f"the store answered {response.code}", seconds)
 
 
-def _decoded(read: Result[HTTPResponse, ReadError], kind: type) -> Result:
+def _decode(read: Result[HTTPResponse, ReadError], kind: type) -> Result:
     match read:
         case Ok(response):
-            return _parsed(response.body, kind)
+            return _decode_json(response.body, kind)
         case error:
             return error
 
 
-class Written(msgspec.Struct, frozen=True):
+class WriteReply(msgspec.Struct, frozen=True):
     """Body of the store's answer to a write."""
 
     version: int
 
 
-def _version_of(response: HTTPResponse) -> int | None:
-    return _parsed(response.body, Written).map(lambda each: each.version).ok()
+def _reply_version(response: HTTPResponse) -> int | None:
+    return _decode_json(response.body, WriteReply).map(lambda each: each.version).ok()
 
 
-def _stored(
+def _stored_object(
     response: HTTPResponse, name: str
 ) -> Result[StoredObject, StoreUnavailable]:
     """Return the object that was read, unless its version makes no sense."""
@@ -247,7 +250,7 @@
     return Ok(StoredObject(name, int(version), response.body))
 
 
-def _parsed(body: bytes, kind: type) -> Result:
+def _decode_json(body: bytes, kind: type) -> Result:
     """Decode an answer; whatever a proxy may answer in the store's place is an error.
 
     Raised instead, it would end the task that reads, and with it the daemon's hearing
--- a/packages/cornelspan-control/src/cornelspan_control/watching.py
+++ b/packages/cornelspan-control/src/cornelspan_control/store_watch.py
@@ -7,16 +7,16 @@
 from result import Err, Ok
 
 from cornelspan_common.logs import get_log
+from cornelspan_control.configuration_reader import read_newer
 from cornelspan_control.plane import Plane
-from cornelspan_control.reading import read_newer
-from cornelspan_control.records import HEAD
+from cornelspan_control.records import HEAD_NAME
 
-STALE_READS = 5
-STALE_PAUSE_SECONDS = 0.1
-FAILED_PAUSE_SECONDS = 1.0
-FAILED_PAUSE_LIMIT_SECONDS = 10.0
-IDLE_PAUSE_SECONDS = 0.5
-FIRST_SECONDS = 4.0
+STALE_READ_ATTEMPTS = 5
+STALE_RETRY_SECONDS = 0.1
+BACKOFF_SECONDS = 1.0
+BACKOFF_LIMIT_SECONDS = 10.0
+RELAY_CHECK_SECONDS = 0.5
+INITIAL_POLL_SECONDS = 4.0
 
 log = get_log(__name__)
 
@@ -31,33 +31,33 @@
     failures = 0
     while True:
         if not plane.is_relay:
-            await asyncio.sleep(IDLE_PAUSE_SECONDS)
+            await asyncio.sleep(RELAY_CHECK_SECONDS)
             continue
         if not await refresh(plane):
             failures += 1
-            await asyncio.sleep(_pause(plane, failures))
+            await asyncio.sleep(_backoff(plane, failures))
             continue
         failures = 0
         seconds = plane.settings.control.watch_seconds
-        match await plane.store.watch(HEAD, after=after, seconds=seconds):
-            case Ok(seen):
-                after = seen.version
-                if seen.changed:
+        match await plane.store.watch(HEAD_NAME, after=after, seconds=seconds):
+            case Ok(result):
+                after = result.version
+                if result.changed:
                     await _refresh_after_event(plane)
             case Err(error):
                 failures += 1
                 log.info("watch failed", extra={"why": str(error)})
-                await asyncio.sleep(_pause(plane, failures))
+                await asyncio.sleep(_backoff(plane, failures))
 
 
 async def _refresh_after_event(plane: Plane) -> None:
     """Read until the change that the event told of shows, past stale reads."""
     before = plane.configuration.revision
-    for _ in range(STALE_READS):
+    for _ in range(STALE_READ_ATTEMPTS):
         await refresh(plane)
         if plane.configuration.revision > before:
             return
-        await asyncio.sleep(STALE_PAUSE_SECONDS)
+        await asyncio.sleep(STALE_RETRY_SECONDS)
 
 
 async def refresh(plane: Plane) -> bool:
@@ -77,7 +77,7 @@
             return False
 
 
-async def fall_back(plane: Plane, connected: Callable[[], bool]) -> None:
+async def poll_without_relays(plane: Plane, connected: Callable[[], bool]) -> None:
     """Read the store now and then while no relay can be reached.
 
     All daemons of a data centre may lose their relays at one moment. Each waits for a
@@ -86,14 +86,14 @@
     control = plane.settings.control
     while True:
         # Who has nothing in force serves nobody, so it doesn't wait the whole period.
-        urgent = plane.configuration.revision == 0
-        period = FIRST_SECONDS if urgent else control.fallback_seconds
+        unconfigured = plane.configuration.revision == 0
+        period = INITIAL_POLL_SECONDS if unconfigured else control.fallback_seconds
         period = min(period, control.fallback_seconds)
         await asyncio.sleep(period * plane.store.random.uniform(0.5, 1.5))
         if not plane.is_relay and not connected():
             await refresh(plane)
 
 
-def _pause(plane: Plane, failures: int) -> float:
-    longest = FAILED_PAUSE_SECONDS * 2 ** min(failures - 1, 10)
-    return min(longest, FAILED_PAUSE_LIMIT_SECONDS) * plane.store.random.uniform(0.5, 1)
+def _backoff(plane: Plane, failures: int) -> float:
+    longest = BACKOFF_SECONDS * 2 ** min(failures - 1, 10)
+    return min(longest, BACKOFF_LIMIT_SECONDS) * plane.store.random.uniform(0.5, 1)
--- a/packages/cornelspan-control/src/cornelspan_control/summaries.py
+++ b/packages/cornelspan-control/src/cornelspan_control/summaries.py
@@ -28,7 +28,7 @@
 )
 from cornelspan_control.burn import Series, add_minute
 from cornelspan_control.store import (
-    NO_OBJECT,
+    NO_VERSION,
     StoreClient,
 )
 
@@ -238,7 +238,7 @@
     """Return a data centre's summary and its version; an empty one if there is none."""
     match await client.get(PREFIX + datacentre):
         case Err(ObjectMissing()):
-            return Ok((Summary(datacentre), NO_OBJECT))
+            return Ok((Summary(datacentre), NO_VERSION))
         case Err(error):
             return Err(error)
         case Ok(found):
--- a/packages/cornelspan-standins/src/cornelspan_standins/_control_state.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_control_state.py
@@ -8,7 +8,7 @@
 from cornelspan_common.control import Announce, Membership
 from cornelspan_control.configuration import Configuration
 from cornelspan_control.members import Members
-from cornelspan_control.records import HEAD, INDEX
+from cornelspan_control.records import HEAD_NAME, INDEX_PREFIX
 from cornelspan_control.roster import Roster
 from cornelspan_standins.objects import ObjectStore
 
@@ -38,8 +38,8 @@
     everyone = tuple(members.known.values())
     roster = Roster(epoch=1, writer="entry-0", members=centre)
     return {
-        "index_bytes": len(store.read(INDEX + "first")[1]),
-        "head_bytes": len(store.read(HEAD)[1]),
+        "index_bytes": len(store.read(INDEX_PREFIX + "first")[1]),
+        "head_bytes": len(store.read(HEAD_NAME)[1]),
         "snapshot_bytes": len(snapshot),
         "configuration_bytes": held_bytes,
         "members_bytes": members_bytes,
--- a/packages/cornelspan-standins/src/cornelspan_standins/bench_control.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/bench_control.py
@@ -15,11 +15,11 @@
 
 from cornelspan_common.settings import Address, StoreSettings
 from cornelspan_control.changes import accept, new_change
+from cornelspan_control.configuration_reader import read_current
 from cornelspan_control.profiles import Profile, Service
-from cornelspan_control.reading import see
 from cornelspan_control.records import (
-    HEAD,
-    INDEX,
+    HEAD_NAME,
+    INDEX_PREFIX,
     Head,
     Index,
     ProfileEntry,
@@ -194,7 +194,7 @@
 
 async def _accept_one(client: StoreClient, number: int) -> tuple[int, float]:
     name = f"profile-{number}"
-    seen = (await see(client, "profiles", name)).unwrap()
+    seen = (await read_current(client, "profiles", name)).unwrap()
     value = msgspec.structs.replace(seen.version.profile, priority=number % 9 + 1)
     change = new_change("profiles", name, value, author="bench", base=seen.base)
     accepted = (await accept(client, change)).unwrap()
@@ -224,8 +224,8 @@
         )
         change = f"s{number:015x}"
         services[service.name] = ServiceEntry(version=change, service=service)
-    _put(store, INDEX + "first", Index(profiles=profiles, services=services))
-    _put(store, HEAD, Head(revision=1, index="first"))
+    _put(store, INDEX_PREFIX + "first", Index(profiles=profiles, services=services))
+    _put(store, HEAD_NAME, Head(revision=1, index="first"))
 
 
 def _put(store: ObjectStore, name: str, value: msgspec.Struct) -> None:
--- a/packages/cornelspan-standins/src/cornelspan_standins/demo.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/demo.py
@@ -19,7 +19,7 @@
 from cornelspan_common.logs import start_logging
 from cornelspan_common.settings import LogSettings, StoreSettings
 from cornelspan_control.changes import accept, new_change
-from cornelspan_control.reading import see
+from cornelspan_control.configuration_reader import read_current
 from cornelspan_control.store import StoreClient
 from cornelspan_standins.callers import (
     Callers,
@@ -167,7 +167,7 @@
     address = store_address(plan)
     client = StoreClient(StoreSettings(address=address))
     try:
-        seen = (await see(client, "profiles", name)).unwrap()
+        seen = (await read_current(client, "profiles", name)).unwrap()
         profile = seen.version.profile
         requests = msgspec.structs.replace(profile.requests, queue=EDITED_QUEUE)
         edited = msgspec.structs.replace(profile, requests=requests)
--- a/packages/cornelspan-standins/src/cornelspan_standins/scenario_stage.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/scenario_stage.py
@@ -20,9 +20,9 @@
     accept,
     new_change,
 )
+from cornelspan_control.configuration_reader import read_current
 from cornelspan_control.profiles import Profile, Service
-from cornelspan_control.reading import see
-from cornelspan_control.records import Accepted, Kind
+from cornelspan_control.records import AcceptedChange, Kind
 from cornelspan_control.store import (
     StoreClient,
     StoreSettings,
@@ -131,7 +131,7 @@
         """
         client = StoreClient(StoreSettings(address=store_address(self.plan)))
         try:
-            seen = (await see(client, "profiles", name)).unwrap()
+            seen = (await read_current(client, "profiles", name)).unwrap()
             profile = seen.version.profile
             edits = [
                 new_change(
@@ -159,8 +159,8 @@
 
 async def _edit_once(
     client: StoreClient, kind: Kind, name: str, settings: Settings
-) -> Result[Accepted, ReadError | ChangeError]:
-    seen = await see(client, kind, name)
+) -> Result[AcceptedChange, ReadError | ChangeError]:
+    seen = await read_current(client, kind, name)
     if seen.is_err():
         return seen
     version = seen.unwrap().version
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -9,16 +9,21 @@
 from cornelspan_common.settings import Address, StoreSettings
 from cornelspan_control.changes import (
     Conflict,
+    Indeterminate,
     Invalid,
     NotFound,
     NotWritten,
-    Unsettled,
     accept,
     new_change,
 )
 from cornelspan_control.configuration import Configuration
+from cornelspan_control.configuration_reader import (
+    read_current,
+    read_history,
+    read_newer,
+    read_snapshot,
+)
 from cornelspan_control.profiles import Profile, Service
-from cornelspan_control.reading import history, read_newer, read_snapshot, see
 from cornelspan_control.records import KEPT_VERSIONS
 from cornelspan_control.store import StoreClient
 from cornelspan_standins.objects import Rates, object_store
@@ -51,10 +56,15 @@
 
 
 async def edit(client, name, author, **fields):
-    seen = (await see(client, "profiles", name)).unwrap()
+    seen = (await read_current(client, "profiles", name)).unwrap()
     value = msgspec.structs.replace(seen.version.profile, **fields)
     change = new_change(
-        "profiles", name, value, author=author, base=seen.base, floor=seen.floor
+        "profiles",
+        name,
+        value,
+        author=author,
+        base=seen.base,
+        min_version=seen.min_version,
     )
     return await accept(client, change)
 
@@ -77,8 +87,8 @@
     await create(client, "profiles", ORDER)
     await create(client, "services", HUB)
     before = store.version
-    base = (await see(client, "services", "order-hub")).unwrap().base
-    order = (await see(client, "profiles", "order")).unwrap().base
+    base = (await read_current(client, "services", "order-hub")).unwrap().base
+    order = (await read_current(client, "profiles", "order")).unwrap().base
     moved = msgspec.structs.replace(HUB, address="10.0.0.2:80")
     unknown = msgspec.structs.replace(HUB, profile="none")
     twin = msgspec.structs.replace(HUB, name="twin")
@@ -97,13 +107,13 @@
     # Two operators read the same version; the second to save would undo the first's
     # edit unseen. It gets a conflict that holds what the first one saved.
     await create(client, "profiles", ORDER)
-    base = (await see(client, "profiles", "order")).unwrap().base
+    base = (await read_current(client, "profiles", "order")).unwrap().base
     mine = Profile(name="order", priority=1)
     (await edit(client, "order", "janis", priority=2)).unwrap()
     change = new_change("profiles", "order", mine, author="mara", base=base)
     conflict = (await accept(client, change)).unwrap_err()
     assert isinstance(conflict, Conflict)
-    assert (conflict.theirs.author, conflict.theirs.profile.priority) == ("janis", 2)
+    assert (conflict.current.author, conflict.current.profile.priority) == ("janis", 2)
 
 
 async def test_same_change_twice_is_applied_once(client):
@@ -116,7 +126,7 @@
     await create(client, "profiles", ORDER)
     for number in range(KEPT_VERSIONS + 10):
         (await edit(client, "order", "mara", drain_seconds=float(number))).unwrap()
-    versions = (await history(client, "profiles", "order", limit=100)).unwrap()
+    versions = (await read_history(client, "profiles", "order", limit=100)).unwrap()
     assert len(versions) == KEPT_VERSIONS + 1
     stored = [n for n, v in store.values.items() if "/order/" in n and v[-1][1]]
     assert len(stored) == KEPT_VERSIONS + 1
@@ -147,11 +157,11 @@
     number = 0
     while number < 5 or (store.calls["conflict"] == 0 and number < 80):
         number += 1
-        seen = (await see(client, "profiles", "order")).unwrap()
+        seen = (await read_current(client, "profiles", "order")).unwrap()
         value = Profile(name="order", drain_seconds=float(number))
         change = new_change("profiles", "order", value, author="mara", base=seen.base)
         store.faults.delay_seconds = 0.03
-        await accept(quick, change, settle_seconds=5.0)
+        await accept(quick, change, timeout_seconds=5.0)
         store.faults.delay_seconds = 0.0
         await asyncio.sleep(0.1)
         (await accept(client, change)).unwrap()
@@ -164,7 +174,7 @@
 async def test_store_down_is_told_apart_from_unknown(client, store):
     store.faults.down = True
     change = new_change("profiles", "order", ORDER, author="mara", base="")
-    refused = await accept(client, change, settle_seconds=0.2)
+    refused = await accept(client, change, timeout_seconds=0.2)
     assert isinstance(refused.unwrap_err(), NotWritten)
     store.faults.down = False
 
@@ -175,9 +185,9 @@
 
     store.faults.lost_answers = 1.0
     breaking = asyncio.create_task(break_once_head_is_sent())
-    unknown = await accept(client, change, settle_seconds=0.5)
+    unknown = await accept(client, change, timeout_seconds=0.5)
     await breaking
-    assert isinstance(unknown.unwrap_err(), Unsettled)
+    assert isinstance(unknown.unwrap_err(), Indeterminate)
     store.faults.down = False
     assert isinstance(await accept(client, change), Ok)
 
@@ -193,7 +203,7 @@
 
     async def add_one(operator, author):
         while True:
-            match await see(operator, "profiles", "order"):
+            match await read_current(operator, "profiles", "order"):
                 case Err(_):
                     continue
                 case Ok(seen):
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -9,8 +9,8 @@
 from control_fleet import QUICK, Fleet
 from cornelspan_common.settings import Address, StoreSettings
 from cornelspan_control.changes import Conflict, accept, new_change
+from cornelspan_control.configuration_reader import read_current
 from cornelspan_control.profiles import Profile
-from cornelspan_control.reading import see
 from cornelspan_control.store import StoreClient
 from cornelspan_standins.objects import Rates, object_store
 
@@ -50,7 +50,7 @@
 async def put_profile(operator, name="order", **fields):
     """Edit a profile; a conflict, from a stale read, is tried anew."""
     while True:
-        seen = await see(operator, "profiles", name)
+        seen = await read_current(operator, "profiles", name)
         if isinstance(seen, Err):
             continue
         base = seen.ok_value.base
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -25,8 +25,8 @@
     decode_settings,
 )
 from cornelspan_common.streams import batches, decode_batch, open_peer, serve_peers
+from cornelspan_control.configuration_reader import read_snapshot
 from cornelspan_control.profiles import Profile
-from cornelspan_control.reading import read_snapshot
 from cornelspan_control.store import StoreClient
 from cornelspan_control.summaries import read_summaries, read_summary
 from local import BASE_PORT
