--- a/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
@@ -57,7 +57,7 @@
         """
         collector = self.collectors.setdefault(datacentre, Collector(datacentre))
         collector.take(counts)
-        return Sealed(collector.sealed_for(counts.agent, counts.incarnation))
+        return Sealed(collector.sealed_minute(counts.agent, counts.incarnation))
 
     def check(self, now: int) -> list[AlertChange]:
         """Work out all burns anew.
--- a/packages/cornelspan-control/src/cornelspan_control/burn.py
+++ b/packages/cornelspan-control/src/cornelspan_control/burn.py
@@ -16,10 +16,10 @@
 
 HOUR_MINUTES = 60
 DAY_MINUTES = 1440
-KEPT_MINUTES = 65
-KEPT_HOURS = 75
-KEPT_DAYS = 91
-MINIMUM_REQUESTS = 20
+MAX_MINUTE_BUCKETS = 65
+MAX_HOUR_BUCKETS = 75
+MAX_DAY_BUCKETS = 91
+MIN_ALERT_REQUESTS = 20
 
 
 class Bucket(msgspec.Struct, frozen=True, array_like=True):
@@ -106,18 +106,18 @@
     hour = minute // HOUR_MINUTES
     day = minute // DAY_MINUTES
     return Series(
-        _added(series.minutes, minute, good, bad, KEPT_MINUTES),
-        _added(series.hours, hour, good, bad, KEPT_HOURS),
-        _added(series.days, day, good, bad, KEPT_DAYS),
+        _add_counts(series.minutes, minute, good, bad, MAX_MINUTE_BUCKETS),
+        _add_counts(series.hours, hour, good, bad, MAX_HOUR_BUCKETS),
+        _add_counts(series.days, day, good, bad, MAX_DAY_BUCKETS),
     )
 
 
 def merge_series(first: Series, second: Series) -> Series:
     """Return the sum of two series, of two data centres for example."""
     return Series(
-        _merged(first.minutes, second.minutes),
-        _merged(first.hours, second.hours),
-        _merged(first.days, second.days),
+        _merge_buckets(first.minutes, second.minutes),
+        _merge_buckets(first.hours, second.hours),
+        _merge_buckets(first.days, second.days),
     )
 
 
@@ -156,40 +156,46 @@
     totals = {w.name: totals_over(series, w.minutes, now=now) for w in WINDOWS}
     rates = {name: burn_rate(each, objective) for name, each in totals.items()}
     window = totals_over(series, objective.window_days * DAY_MINUTES, now=now)
-    left = 1.0 - burn_rate(window, objective)
+    budget_left = 1.0 - burn_rate(window, objective)
     return Burn(
         service=service,
         objective=objective,
         rates=rates,
         requests={name: each.requests for name, each in totals.items()},
-        budget_left=left,
-        exhausted_in_days=_exhausted_in(left, rates[ONE_HOUR.name], objective),
-        alerts=tuple(rule.name for rule in RULES if _fires(rule, rates, totals)),
+        budget_left=budget_left,
+        exhausted_in_days=_days_until_exhausted(
+            budget_left, rates[ONE_HOUR.name], objective
+        ),
+        alerts=tuple(rule.name for rule in RULES if _is_firing(rule, rates, totals)),
     )
 
 
-def _fires(rule: AlertRule, rates: dict[str, float], totals: dict[str, Totals]) -> bool:
+def _is_firing(
+    rule: AlertRule, rates: dict[str, float], totals: dict[str, Totals]
+) -> bool:
     """Whether an alert holds; with few requests one failure would set it off."""
-    if totals[rule.long.name].requests < MINIMUM_REQUESTS:
+    if totals[rule.long.name].requests < MIN_ALERT_REQUESTS:
         return False
     return rates[rule.short.name] >= rule.rate and rates[rule.long.name] >= rule.rate
 
 
-def _exhausted_in(left: float, rate: float, objective: Objective) -> float:
-    if left <= 0:
+def _days_until_exhausted(
+    budget_left: float, rate: float, objective: Objective
+) -> float:
+    if budget_left <= 0:
         return 0.0
-    return objective.window_days * left / rate if rate > 0 else math.inf
+    return objective.window_days * budget_left / rate if rate > 0 else math.inf
 
 
-def _added(
-    buckets: tuple[Bucket, ...], number: int, good: int, bad: int, kept: int
+def _add_counts(
+    buckets: tuple[Bucket, ...], number: int, good: int, bad: int, max_buckets: int
 ) -> tuple[Bucket, ...]:
-    merged = _merged(buckets, (Bucket(number, good, bad),))
+    merged = _merge_buckets(buckets, (Bucket(number, good, bad),))
     newest = merged[-1].number
-    return tuple(bucket for bucket in merged if bucket.number > newest - kept)
+    return tuple(bucket for bucket in merged if bucket.number > newest - max_buckets)
 
 
-def _merged(
+def _merge_buckets(
     first: tuple[Bucket, ...], second: tuple[Bucket, ...]
 ) -> tuple[Bucket, ...]:
     sums: dict[int, Bucket] = {}
--- a/packages/cornelspan-control/src/cornelspan_control/changes.py
+++ b/packages/cornelspan-control/src/cornelspan_control/changes.py
@@ -29,8 +29,8 @@
 from cornelspan_control.records import (
     HEAD_NAME,
     INDEX_PREFIX,
-    KEPT_VERSIONS,
-    RECENT_CHANGES,
+    MAX_ANCESTORS,
+    MAX_RECENT_CHANGES,
     AcceptedChange,
     Head,
     Index,
@@ -242,8 +242,8 @@
                 case Err(error):
                     return self.record_failure(error)
                 case Ok(ancestors):
-                    expired = ancestors[KEPT_VERSIONS:]
-            record = _version_record(change, ancestors[:KEPT_VERSIONS])
+                    expired = ancestors[MAX_ANCESTORS:]
+            record = _version_record(change, ancestors[:MAX_ANCESTORS])
             name = version_name(change.kind, change.name, change.change)
             if error := await self.create(name, record):
                 return self.record_failure(error)
@@ -302,7 +302,7 @@
         change = self.change
         for old in expired:
             await self.client.delete(version_name(change.kind, change.name, old))
-        if len(head.recent) >= RECENT_CHANGES:
+        if len(head.recent) >= MAX_RECENT_CHANGES:
             oldest = head.recent[0]
             await self.client.delete(f"{INDEX_PREFIX}{oldest.change}-{oldest.revision}")
 
@@ -398,5 +398,5 @@
 
 
 def _head_with(head: Head, accepted: AcceptedChange, index: str) -> Head:
-    recent = (*head.recent, accepted)[-RECENT_CHANGES:]
+    recent = (*head.recent, accepted)[-MAX_RECENT_CHANGES:]
     return Head(revision=accepted.revision, index=index, recent=recent)
--- a/packages/cornelspan-control/src/cornelspan_control/configuration.py
+++ b/packages/cornelspan-control/src/cornelspan_control/configuration.py
@@ -65,11 +65,17 @@
             return False
         profiles = self.profiles | {p.name: p for p in delta.profiles}
         services = self.services | {s.name: s for s in delta.services}
-        kept = [p for n, p in profiles.items() if n not in delta.removed_profiles]
-        used = [s for n, s in services.items() if n not in delta.removed_services]
+        profiles_left = [
+            p for n, p in profiles.items() if n not in delta.removed_profiles
+        ]
+        services_left = [
+            s for n, s in services.items() if n not in delta.removed_services
+        ]
         return self.apply(
             Snapshot(
-                revision=delta.revision, profiles=tuple(kept), services=tuple(used)
+                revision=delta.revision,
+                profiles=tuple(profiles_left),
+                services=tuple(services_left),
             )
         )
 
--- a/packages/cornelspan-control/src/cornelspan_control/ranking.py
+++ b/packages/cornelspan-control/src/cornelspan_control/ranking.py
@@ -16,8 +16,8 @@
 from cornelspan_common.hashing import name_seed, rank
 from cornelspan_control.members import Members
 
-CANDIDATES = 8
-CACHED_FLOWS = 65_536
+MAX_CANDIDATES = 8
+MAX_CACHED_RANKINGS = 65_536
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,41 +28,41 @@
     encoded: msgspec.Raw
 
 
-class Group:
+class EndpointGroup:
     """The endpoints of one service at one version of the membership."""
 
     def __init__(self, endpoints: list[tuple[str, int, float]]) -> None:
         self.endpoints = endpoints
-        self.by_flow: dict[int, Candidates] = {}
-        self.by_names: dict[tuple[str, ...], Candidates] = {}
+        self.candidates_by_flow: dict[int, Candidates] = {}
+        self.candidates_by_names: dict[tuple[str, ...], Candidates] = {}
 
     def candidates(self, flow: int) -> Candidates:
         """Return the flow's candidates, ranked at its first packet and then kept."""
-        found = self.by_flow.get(flow)
+        found = self.candidates_by_flow.get(flow)
         if found is not None:
             return found
-        names = tuple(rank(flow, self.endpoints)[:CANDIDATES])
-        found = self._shared(names)
-        if len(self.by_flow) >= CACHED_FLOWS:
-            self.by_flow.clear()
-        self.by_flow[flow] = found
+        names = tuple(rank(flow, self.endpoints)[:MAX_CANDIDATES])
+        found = self._interned(names)
+        if len(self.candidates_by_flow) >= MAX_CACHED_RANKINGS:
+            self.candidates_by_flow.clear()
+        self.candidates_by_flow[flow] = found
         return found
 
-    def _shared(self, names: tuple[str, ...]) -> Candidates:
+    def _interned(self, names: tuple[str, ...]) -> Candidates:
         """Return the one object for an order; flows of the same order share it."""
-        found = self.by_names.get(names)
+        found = self.candidates_by_names.get(names)
         if found is None:
-            if len(self.by_names) >= CACHED_FLOWS:
-                self.by_names.clear()
+            if len(self.candidates_by_names) >= MAX_CACHED_RANKINGS:
+                self.candidates_by_names.clear()
             found = Candidates(names, msgspec.Raw(msgspec.msgpack.encode(names)))
-            self.by_names[names] = found
+            self.candidates_by_names[names] = found
         return found
 
 
 class Ranking:
     """The groups of all services, worked out once a version of the membership.
 
-    A group of up to ``CANDIDATES`` endpoints is its own whole list, so that an owner
+    A group of up to ``MAX_CANDIDATES`` endpoints is its own whole list, so that an owner
     is found even when the home's directory died with it. Leaving endpoints stay in
     the list for the flows they have; their own agents refuse new ones.
     """
@@ -70,7 +70,7 @@
     def __init__(self, members: Members) -> None:
         self.members = members
         self.version = -1
-        self.groups: dict[str, Group] = {}
+        self.groups: dict[str, EndpointGroup] = {}
 
     def candidates(self, service: str, flow: int) -> Candidates:
         """Return the candidates of a flow of a service; none if nobody serves it."""
@@ -83,6 +83,6 @@
             self.groups[service] = group
         return group.candidates(flow)
 
-    def _group(self, service: str) -> Group:
+    def _group(self, service: str) -> EndpointGroup:
         agents = self.members.of_service(service)
-        return Group([(m.name, name_seed(m.name), m.weight) for m in agents])
+        return EndpointGroup([(m.name, name_seed(m.name), m.weight) for m in agents])
--- a/packages/cornelspan-control/src/cornelspan_control/records.py
+++ b/packages/cornelspan-control/src/cornelspan_control/records.py
@@ -29,8 +29,8 @@
 
 HEAD_NAME = "configuration/head"
 INDEX_PREFIX = "configuration/index/"
-RECENT_CHANGES = 64
-KEPT_VERSIONS = 50
+MAX_RECENT_CHANGES = 64
+MAX_ANCESTORS = 50
 
 Kind = Literal["profiles", "services"]
 
--- a/packages/cornelspan-control/src/cornelspan_control/reports.py
+++ b/packages/cornelspan-control/src/cornelspan_control/reports.py
@@ -19,8 +19,8 @@
 from cornelspan_control.configuration import Snapshot
 from cornelspan_control.profiles import Objective, Profile
 from cornelspan_control.summaries import (
-    DIGITS,
-    HIGHEST_MICROSECONDS,
+    MAX_LATENCY_MICROSECONDS,
+    SIGNIFICANT_DIGITS,
     Summary,
     merge_latencies,
 )
@@ -99,7 +99,7 @@
 
 
 def _latencies(encoded: list[bytes]) -> HdrHistogram:
-    histogram = HdrHistogram(1, HIGHEST_MICROSECONDS, DIGITS)
+    histogram = HdrHistogram(1, MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS)
     histogram.decode_and_add(merge_latencies(encoded))
     return histogram
 
--- a/packages/cornelspan-control/src/cornelspan_control/summaries.py
+++ b/packages/cornelspan-control/src/cornelspan_control/summaries.py
@@ -11,7 +11,7 @@
 sums.
 
 The cost is one read and one write of the object for each relay and ``seal_seconds``: a
-minute, or longer where the object is big, so that it stays within ``BYTES_PER_SECOND``.
+minute, or longer where the object is big, so that it stays within ``MAX_BYTES_PER_SECOND``.
 """
 
 from dataclasses import dataclass, field
@@ -32,14 +32,14 @@
     StoreClient,
 )
 
-PREFIX = "service-levels/"
-SEALED_KEPT_MINUTES = KEPT_MINUTES + 60
-VALUE_BYTES = 900_000
+SUMMARY_PREFIX = "service-levels/"
+AGENT_RETENTION_MINUTES = KEPT_MINUTES + 60
+MAX_VALUE_BYTES = 900_000
 SEAL_SECONDS = 60.0
-BYTES_PER_SECOND = 4096
-HIGHEST_MICROSECONDS = 120_000_000
-DIGITS = 2
-MINUTES_BEFORE_SILENT = 5
+MAX_BYTES_PER_SECOND = 4096
+MAX_LATENCY_MICROSECONDS = 120_000_000
+SIGNIFICANT_DIGITS = 2
+SILENT_MINUTES = 5
 
 
 class ServiceSummary(msgspec.Struct, frozen=True):
@@ -69,12 +69,12 @@
     def silent_agents(self) -> list[SealedAgent]:
         """Return agents whose newest life has not reported for some minutes."""
         newest = {each.agent: each for each in self.agents}
-        limit = self.minute - MINUTES_BEFORE_SILENT
+        limit = self.minute - SILENT_MINUTES
         return [each for each in newest.values() if each.minute < limit]
 
 
 @dataclass
-class Pending:
+class PendingCounts:
     """What one life of an agent has counted that is not in the store yet."""
 
     service: str
@@ -84,7 +84,7 @@
     reported: bool = True
 
 
-Life = tuple[str, int]
+AgentIncarnation = tuple[str, int]
 
 
 class Collector:
@@ -92,8 +92,8 @@
 
     def __init__(self, datacentre: str) -> None:
         self.datacentre = datacentre
-        self.pending: dict[Life, Pending] = {}
-        self.sealed: dict[Life, int] = {}
+        self.pending: dict[AgentIncarnation, PendingCounts] = {}
+        self.sealed: dict[AgentIncarnation, int] = {}
         self.summary = Summary(datacentre)
         self.failures = 0
         self.value_bytes = 0
@@ -101,30 +101,30 @@
     @property
     def seal_seconds(self) -> float:
         """How long to wait between two updates of the object."""
-        return max(SEAL_SECONDS, 2 * self.value_bytes / BYTES_PER_SECOND)
+        return max(SEAL_SECONDS, 2 * self.value_bytes / MAX_BYTES_PER_SECOND)
 
     def series(self) -> dict[str, Series]:
         """Return each service's counts, sealed and not, as this relay knows them."""
-        known = {name: each.series for name, each in self.summary.services.items()}
+        current = {name: each.series for name, each in self.summary.services.items()}
         for pending in self.pending.values():
-            before = known.get(pending.service, Series())
+            before = current.get(pending.service, Series())
             newest = max(pending.minutes, default=0)
-            known[pending.service] = _with_minutes(before, pending.minutes, newest)
-        return known
+            current[pending.service] = _with_minutes(before, pending.minutes, newest)
+        return current
 
     def take(self, counts: ServiceCounts) -> None:
         """Take in an agent's counts; what is said again replaces itself."""
-        life = (counts.agent, counts.incarnation)
-        pending = self.pending.setdefault(life, Pending(counts.service))
+        key = (counts.agent, counts.incarnation)
+        pending = self.pending.setdefault(key, PendingCounts(counts.service))
         pending.complete = max(pending.complete, counts.complete)
         pending.latencies = counts.latencies
         pending.reported = True
-        sealed = self.sealed.get(life, 0)
+        sealed = self.sealed.get(key, 0)
         for minute in counts.minutes:
             if minute.number > sealed:
                 pending.minutes[minute.number] = minute
 
-    def sealed_for(self, agent: str, incarnation: int) -> int:
+    def sealed_minute(self, agent: str, incarnation: int) -> int:
         """Return up to which minute an agent need not report again."""
         return self.sealed.get((agent, incarnation), 0)
 
@@ -139,7 +139,7 @@
             The object's new version. After an error everything is kept for the next
             time, whether or not the update took effect.
         """
-        name = PREFIX + self.datacentre
+        name = SUMMARY_PREFIX + self.datacentre
         match await read_summary(client, self.datacentre):
             case Ok((summary, version)):
                 pass
@@ -148,39 +148,39 @@
                 return Err(error)
         # Another relay may have counted our agents' minutes, or our last update took
         # effect though its answer was lost; then they must not be counted again.
-        self._note_sealed(summary)
-        summary = self._added(summary, now)
+        self._drop_sealed(summary)
+        summary = self._with_pending(summary, now)
         value = encode_summary(summary)
         match await client.put(name, value, expected=version):
             case Ok(written):
                 self.value_bytes = len(value)
                 self.summary = summary
-                self._note_sealed(summary)
+                self._drop_sealed(summary)
                 return Ok(written)
             case Err(error):
                 self.failures += 1
                 return Err(error)
 
-    def _note_sealed(self, summary: Summary) -> None:
+    def _drop_sealed(self, summary: Summary) -> None:
         """Drop what the store has already."""
         for each in summary.agents:
             self.sealed[each.agent, each.incarnation] = each.minute
-        for life, pending in self.pending.items():
-            sealed = self.sealed.get(life, 0)
+        for key, pending in self.pending.items():
+            sealed = self.sealed.get(key, 0)
             kept = {n: m for n, m in pending.minutes.items() if n > sealed}
             pending.minutes = kept
-        self._forget_old(summary.minute)
+        self._drop_expired(summary.minute)
 
-    def _forget_old(self, minute: int) -> None:
+    def _drop_expired(self, minute: int) -> None:
         """Drop lives that are long over and have nothing left to count."""
-        oldest = minute - SEALED_KEPT_MINUTES
-        for life in [life for life, m in self.sealed.items() if m < oldest]:
-            del self.sealed[life]
-        for life, pending in list(self.pending.items()):
+        oldest = minute - AGENT_RETENTION_MINUTES
+        for key in [key for key, m in self.sealed.items() if m < oldest]:
+            del self.sealed[key]
+        for key, pending in list(self.pending.items()):
             if not pending.minutes and not pending.reported:
-                del self.pending[life]
+                del self.pending[key]
 
-    def _added(self, summary: Summary, now: int) -> Summary:
+    def _with_pending(self, summary: Summary, now: int) -> Summary:
         """Return the summary with all complete pending minutes added.
 
         A minute that its agent may still be counting in waits: sealed too early, what
@@ -189,19 +189,19 @@
         services = dict(summary.services)
         agents = {(a.agent, a.incarnation): a for a in summary.agents}
         latencies: dict[str, list[bytes]] = {}
-        for life, pending in self.pending.items():
-            known = services.get(pending.service, ServiceSummary())
-            series = _with_minutes(known.series, pending.minutes, pending.complete)
-            services[pending.service] = ServiceSummary(series, known.latencies)
+        for key, pending in self.pending.items():
+            current = services.get(pending.service, ServiceSummary())
+            series = _with_minutes(current.series, pending.minutes, pending.complete)
+            services[pending.service] = ServiceSummary(series, current.latencies)
             if pending.reported:
-                sealed = max(pending.complete, self.sealed.get(life, 0))
-                agents[life] = SealedAgent(*life, pending.service, sealed)
+                sealed = max(pending.complete, self.sealed.get(key, 0))
+                agents[key] = SealedAgent(*key, pending.service, sealed)
                 latencies.setdefault(pending.service, []).append(pending.latencies)
                 pending.reported = False
         for service, encoded in latencies.items():
             merged = merge_latencies(encoded)
             services[service] = ServiceSummary(services[service].series, merged)
-        oldest = now - SEALED_KEPT_MINUTES
+        oldest = now - AGENT_RETENTION_MINUTES
         kept = [each for each in agents.values() if each.minute >= oldest]
         kept.sort(key=lambda each: (each.agent, each.incarnation))
         return Summary(self.datacentre, now, services, tuple(kept))
@@ -209,7 +209,7 @@
 
 def merge_latencies(encoded: list[bytes]) -> bytes:
     """Return the sum of compressed histograms; a broken one is left out."""
-    merged = HdrHistogram(1, HIGHEST_MICROSECONDS, DIGITS)
+    merged = HdrHistogram(1, MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS)
     for each in encoded:
         try:
             merged.decode_and_add(each)
@@ -226,7 +226,7 @@
     counted any more. Histograms are what can be missed best.
     """
     value = msgspec.msgpack.encode(summary)
-    if len(value) <= VALUE_BYTES:
+    if len(value) <= MAX_VALUE_BYTES:
         return value
     services = {n: ServiceSummary(s.series) for n, s in summary.services.items()}
     return msgspec.msgpack.encode(msgspec.structs.replace(summary, services=services))
@@ -236,7 +236,7 @@
     client: StoreClient, datacentre: str
 ) -> Result[tuple[Summary, int], StoreError]:
     """Return a data centre's summary and its version; an empty one if there is none."""
-    match await client.get(PREFIX + datacentre):
+    match await client.get(SUMMARY_PREFIX + datacentre):
         case Err(ObjectMissing()):
             return Ok((Summary(datacentre), NO_VERSION))
         case Err(error):
@@ -251,11 +251,11 @@
 
 async def read_summaries(client: StoreClient) -> Result[list[Summary], StoreError]:
     """Return the summaries of all data centres that can be read."""
-    match await client.list_objects(PREFIX):
+    match await client.list_objects(SUMMARY_PREFIX):
         case Err(error):
             return Err(error)
         case Ok(listing):
-            names = [name.removeprefix(PREFIX) for name, _ in listing.objects]
+            names = [name.removeprefix(SUMMARY_PREFIX) for name, _ in listing.objects]
     summaries = []
     for name in names:
         match await read_summary(client, name):
@@ -266,9 +266,11 @@
     return Ok(summaries)
 
 
-def _with_minutes(series: Series, minutes: dict[int, Minute], upto: int) -> Series:
+def _with_minutes(
+    series: Series, minutes: dict[int, Minute], last_minute: int
+) -> Series:
     for number in sorted(minutes):
-        if number <= upto:
+        if number <= last_minute:
             counted = minutes[number]
             series = add_minute(series, number, counted.good, counted.bad)
     return series
--- a/tests/control_fleet.py
+++ b/tests/control_fleet.py
@@ -23,7 +23,7 @@
 from cornelspan_control.control_plane import Control, control_plane
 from cornelspan_control.members import Members
 
-QUICK = ControlSettings(
+SHORT_TIMES = ControlSettings(
     heartbeat_seconds=0.1,
     relay_heartbeats=2,
     lost_seconds=0.1,
@@ -32,7 +32,7 @@
     publish_seconds=0.1,
 )
 STREAMS = StreamSettings(connect_seconds=0.4, reconnect_seconds=0.05)
-lives = itertools.count(time.time_ns() // 1_000_000)
+incarnations = itertools.count(time.time_ns() // 1_000_000)
 
 
 @dataclass
@@ -81,7 +81,7 @@
     *,
     datacentre: str = "chuo-hall",
     service: str = "",
-    control: ControlSettings = QUICK,
+    control: ControlSettings = SHORT_TIMES,
     calls_per_second: float = 1000.0,
 ) -> AsyncIterator[Node]:
     """Run a balancer, or the agent of a service, as long as the context lasts."""
@@ -99,7 +99,7 @@
         control=control,
     )
     role = "agent" if service else "balancer"
-    hello = Hello(PROTOCOL, role, name, datacentre, next(lives))
+    hello = Hello(PROTOCOL, role, name, datacentre, next(incarnations))
     node = Node(settings, role, service, hello)
     async with contextlib.AsyncExitStack() as stack:
         node.server = await stack.enter_async_context(
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -24,7 +24,7 @@
     read_snapshot,
 )
 from cornelspan_control.profiles import Profile, Service
-from cornelspan_control.records import KEPT_VERSIONS
+from cornelspan_control.records import MAX_ANCESTORS
 from cornelspan_control.store import StoreClient
 from cornelspan_standins.objects import Rates, object_store
 
@@ -124,16 +124,16 @@
 
 async def test_revert_is_a_new_change_and_history_is_bounded(client, store):
     await create(client, "profiles", ORDER)
-    for number in range(KEPT_VERSIONS + 10):
+    for number in range(MAX_ANCESTORS + 10):
         (await edit(client, "order", "mara", drain_seconds=float(number))).unwrap()
     versions = (await read_history(client, "profiles", "order", limit=100)).unwrap()
-    assert len(versions) == KEPT_VERSIONS + 1
+    assert len(versions) == MAX_ANCESTORS + 1
     stored = [n for n, v in store.values.items() if "/order/" in n and v[-1][1]]
-    assert len(stored) == KEPT_VERSIONS + 1
+    assert len(stored) == MAX_ANCESTORS + 1
     old = versions[5].profile
     (await edit(client, "order", "mara", drain_seconds=old.drain_seconds)).unwrap()
     head = (await read_snapshot(client)).unwrap()
-    assert head.revision == KEPT_VERSIONS + 12
+    assert head.revision == MAX_ANCESTORS + 12
     assert head.profiles == (old,)
 
 
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -6,7 +6,7 @@
 import pytest
 from result import Err, Ok
 
-from control_fleet import QUICK, Fleet
+from control_fleet import SHORT_TIMES, Fleet
 from cornelspan_common.settings import Address, StoreSettings
 from cornelspan_control.changes import Conflict, accept, new_change
 from cornelspan_control.configuration_reader import read_current
@@ -40,10 +40,10 @@
     return StoreClient(StoreSettings(address=address, calls_per_second=1000))
 
 
-async def until(holds, *, seconds=10.0):
-    ends = time.monotonic() + seconds
-    while not holds():
-        assert time.monotonic() < ends, "waited in vain"
+async def wait_until(condition, *, seconds=10.0):
+    deadline = time.monotonic() + seconds
+    while not condition():
+        assert time.monotonic() < deadline, "waited in vain"
         await asyncio.sleep(0.02)
 
 
@@ -68,18 +68,18 @@
         await fleet.start(f"entry-{number}")
     for number in range(agents):
         await fleet.start(f"hub-{number}", service="order-hub")
-    await until(lambda: all_know(fleet))
+    await wait_until(lambda: all_know(fleet))
 
 
 def all_know(fleet):
     """Whether each daemon knows all that concern it, and nobody who is dead."""
     return all(
-        concern(fleet, node) <= set(node.members.known) <= set(fleet.nodes)
+        required_members(fleet, node) <= set(node.members.known) <= set(fleet.nodes)
         for node in fleet.nodes.values()
     )
 
 
-def concern(fleet, node):
+def required_members(fleet, node):
     """Names that a daemon must know: an agent its service and its balancers."""
     return {
         name
@@ -93,7 +93,7 @@
 async def test_change_reaches_every_daemon(fleet, operator):
     await start_fleet(fleet)
     revision = await put_profile(operator)
-    await until(lambda: fleet.revisions() == {revision})
+    await wait_until(lambda: fleet.revisions() == {revision})
 
 
 async def test_only_two_relays_watch_and_agree(fleet, store):
@@ -111,14 +111,14 @@
     agent = fleet.nodes["hub-0"]
     agent.leaving = True
     agent.control.announce()
-    await until(
+    await wait_until(
         lambda: all(n.members.known["hub-0"].leaving for n in fleet.nodes.values())
     )
     agent.control.leave()
     await asyncio.sleep(0.05)
     await fleet.kill("hub-0")
     await fleet.kill("hub-1")
-    await until(lambda: all_know(fleet))
+    await wait_until(lambda: all_know(fleet))
 
 
 async def test_store_down_changes_nothing_and_newcomers_start(fleet, store, operator):
@@ -126,18 +126,18 @@
     # daemon that starts now takes the newest configuration from its peers.
     await start_fleet(fleet)
     revision = await put_profile(operator, priority=3)
-    await until(lambda: fleet.revisions() == {revision})
+    await wait_until(lambda: fleet.revisions() == {revision})
     store.faults.down = True
     await fleet.kill("hub-3")
     await fleet.start("entry-new")
     await fleet.start("hub-new", service="order-hub")
-    await until(lambda: all_know(fleet))
-    await until(lambda: fleet.revisions() == {revision})
+    await wait_until(lambda: all_know(fleet))
+    await wait_until(lambda: fleet.revisions() == {revision})
     await asyncio.sleep(1.0)
     assert fleet.revisions() == {revision}
     store.faults.down = False
     revision = await put_profile(operator, priority=4)
-    await until(lambda: fleet.revisions() == {revision}, seconds=15)
+    await wait_until(lambda: fleet.revisions() == {revision}, seconds=15)
 
 
 async def test_missed_events_and_stale_reads_delay_but_never_revert(
@@ -155,7 +155,7 @@
         for name, node in fleet.nodes.items():
             assert node.configuration.revision >= seen[name]
             seen[name] = node.configuration.revision
-    await until(lambda: fleet.revisions() == {revision})
+    await wait_until(lambda: fleet.revisions() == {revision})
 
 
 async def test_relay_killed_while_changes_come(fleet, operator):
@@ -166,8 +166,8 @@
     revision = await put_profile(operator, priority=1)
     await fleet.kill(primary)
     revision = await put_profile(operator, priority=2)
-    await until(lambda: fleet.revisions() == {revision})
-    await until(lambda: all_know(fleet))
+    await wait_until(lambda: fleet.revisions() == {revision})
+    await wait_until(lambda: all_know(fleet))
     relays = {tuple(n.control.plane.relays()) for n in fleet.nodes.values()}
     assert len(relays) == 1
     assert primary not in relays.pop()
@@ -177,7 +177,7 @@
     await start_fleet(fleet)
     store.faults.delay_seconds = 0.05
     revision = await put_profile(operator, priority=1)
-    await until(lambda: fleet.revisions() == {revision})
+    await wait_until(lambda: fleet.revisions() == {revision})
 
 
 async def test_daemon_started_with_the_store_down_and_alone(fleet, store, operator):
@@ -189,7 +189,7 @@
     await asyncio.sleep(0.3)
     assert node.configuration.revision == 0
     store.faults.down = False
-    await until(lambda: node.configuration.revision == revision, seconds=15)
+    await wait_until(lambda: node.configuration.revision == revision, seconds=15)
 
 
 async def test_two_data_centres_learn_of_each_other(fleet, store, operator):
@@ -199,12 +199,12 @@
         await fleet.start(f"north-{number}", datacentre="kita-hall")
     await fleet.start("hub-0", service="order-hub", datacentre="kita-hall")
     await fleet.start("hub-1", service="order-hub", datacentre="chuo-hall")
-    await until(lambda: all_know(fleet))
+    await wait_until(lambda: all_know(fleet))
     store.faults.missed_events = 1.0
     revision = await put_profile(operator)
-    await until(lambda: fleet.revisions() == {revision})
+    await wait_until(lambda: fleet.revisions() == {revision})
     await fleet.kill("hub-0")
-    await until(lambda: all_know(fleet))
+    await wait_until(lambda: all_know(fleet))
 
 
 async def test_wrongly_judged_member_begins_a_new_life(fleet):
@@ -216,9 +216,9 @@
     for node in fleet.nodes.values():
         if node is not agent:
             node.members.remove("hub-0", first)
-    await until(lambda: all_know(fleet))
-    lives = {n.members.known["hub-0"].incarnation for n in fleet.nodes.values()}
-    assert lives == {agent.hello.incarnation}
+    await wait_until(lambda: all_know(fleet))
+    incarnations = {n.members.known["hub-0"].incarnation for n in fleet.nodes.values()}
+    assert incarnations == {agent.hello.incarnation}
     assert agent.hello.incarnation > first
 
 
@@ -239,8 +239,8 @@
     for _ in range(3):
         await agent.control.relays.contact_one_seed()
     revision = await put_profile(operator)
-    await until(lambda: fleet.revisions() == {revision})
-    await asyncio.sleep(3 * QUICK.relay_silent_seconds)
+    await wait_until(lambda: fleet.revisions() == {revision})
+    await asyncio.sleep(3 * SHORT_TIMES.relay_silent_seconds)
     relays = agent.control.plane.relays()
     assert agent.control.plane.silent_relays == {}
     for name in relays:
@@ -254,20 +254,20 @@
     # while it is down or when it comes back.
     await start_fleet(fleet, balancers=4, agents=8)
     revision = await put_profile(operator, priority=1)
-    await until(lambda: fleet.revisions() == {revision})
+    await wait_until(lambda: fleet.revisions() == {revision})
     store.faults.down = True
     before = sum(store.calls.values())
-    ends = time.monotonic() + 60
-    turn = 0
-    while time.monotonic() < ends:
-        turn += 1
-        await fleet.kill(f"hub-{turn % 8}")
-        await until(lambda: all_know(fleet))
-        await fleet.start(f"hub-{turn % 8}", service="order-hub")
-        await until(lambda: all_know(fleet) and fleet.revisions() == {revision})
+    deadline = time.monotonic() + 60
+    round_number = 0
+    while time.monotonic() < deadline:
+        round_number += 1
+        await fleet.kill(f"hub-{round_number % 8}")
+        await wait_until(lambda: all_know(fleet))
+        await fleet.start(f"hub-{round_number % 8}", service="order-hub")
+        await wait_until(lambda: all_know(fleet) and fleet.revisions() == {revision})
         await asyncio.sleep(2.0)
     calls = (sum(store.calls.values()) - before) / 60
     assert calls < 4 * len(fleet.nodes)
     store.faults.down = False
     revision = await put_profile(operator, priority=2)
-    await until(lambda: fleet.revisions() == {revision}, seconds=30)
+    await wait_until(lambda: fleet.revisions() == {revision}, seconds=30)
--- a/tests/test_paused_relay.py
+++ b/tests/test_paused_relay.py
@@ -14,10 +14,10 @@
 from cornelspan_common.settings import Address, StoreSettings
 from cornelspan_control.store import StoreClient
 from cornelspan_standins.objects import Rates, object_store
-from test_control_plane import put_profile, until
+from test_control_plane import put_profile, wait_until
 
 PAUSE_SECONDS = 2.5
-RUN_ONE = """
+NODE_SCRIPT = """
 import asyncio, sys
 sys.path.insert(0, sys.argv[1])
 from control_fleet import run_node
@@ -36,7 +36,7 @@
 @contextlib.contextmanager
 def other_process(name, port, store_port, seed):
     arguments = [name, str(port), str(store_port), str(seed)]
-    command = [sys.executable, "-c", RUN_ONE, os.path.dirname(__file__), *arguments]
+    command = [sys.executable, "-c", NODE_SCRIPT, os.path.dirname(__file__), *arguments]
     with subprocess.Popen(command, stdout=subprocess.PIPE) as process:
         try:
             assert process.stdout.readline().strip() == b"running"
@@ -56,12 +56,14 @@
     # configuration goes on, members come and go. It wakes with an old revision, an old
     # epoch and a silence of all members behind it. Nobody living may be judged dead by
     # it, no revision may go back, and it must catch up and come back as a new life.
-    store_at = Address(host="127.0.0.1", port=base_port)
+    store_address = Address(host="127.0.0.1", port=base_port)
     names = [f"entry-{number}" for number in range(4)]
     primary = primary_of(names)
-    async with object_store(store_at, rates=Rates(1e5, 1e5)) as store:
-        operator = StoreClient(StoreSettings(address=store_at, calls_per_second=1000))
-        fleet = Fleet(store_at, base_port + 10)
+    async with object_store(store_address, rates=Rates(1e5, 1e5)) as store:
+        operator = StoreClient(
+            StoreSettings(address=store_address, calls_per_second=1000)
+        )
+        fleet = Fleet(store_address, base_port + 10)
         try:
             for name in names:
                 if name != primary:
@@ -71,32 +73,32 @@
             with other_process(
                 primary, base_port + 50, base_port, base_port + 10
             ) as process:
-                await until(lambda: heads(fleet) == {primary})
+                await wait_until(lambda: primaries(fleet) == {primary})
                 first = await put_profile(operator, priority=1)
-                await until(lambda: fleet.revisions() == {first})
+                await wait_until(lambda: fleet.revisions() == {first})
                 process.send_signal(signal.SIGSTOP)
-                await until(lambda: primary not in known_names(fleet), seconds=20)
+                await wait_until(lambda: primary not in known_names(fleet), seconds=20)
                 second = await put_profile(operator, priority=2)
-                await until(lambda: fleet.revisions() == {second})
+                await wait_until(lambda: fleet.revisions() == {second})
                 await fleet.kill("hub-3")
-                await until(lambda: "hub-3" not in known_names(fleet))
-                lives = living(fleet)
+                await wait_until(lambda: "hub-3" not in known_names(fleet))
+                incarnations = incarnations_by_name(fleet)
                 await asyncio.sleep(PAUSE_SECONDS)
                 process.send_signal(signal.SIGCONT)
-                await until(lambda: heads(fleet) == {primary}, seconds=20)
+                await wait_until(lambda: primaries(fleet) == {primary}, seconds=20)
                 await asyncio.sleep(1.0)
-                assert living(fleet) == lives
+                assert incarnations_by_name(fleet) == incarnations
                 assert "hub-3" not in known_names(fleet)
                 assert fleet.revisions() == {second}
                 third = await put_profile(operator, priority=3)
-                await until(lambda: fleet.revisions() == {third})
+                await wait_until(lambda: fleet.revisions() == {third})
                 roster = msgspec.json.decode(store.read("members/chuo-hall")[1])
                 assert roster["epoch"] >= 2
         finally:
             await fleet.stop()
 
 
-class NeverCleared(dict):
+class UndeletableEpochs(dict):
     """The epochs that a relay holds, when its loop has not seen that it lost them."""
 
     def __delitem__(self, datacentre):
@@ -108,31 +110,31 @@
     # first is the primary for less than a turn of the other's loop, then it is gone
     # without a word. Had it only been paused, it would wake and speak under its epoch:
     # the other must judge on under a later one, or members would believe both.
-    store_at = Address(host="127.0.0.1", port=base_port)
+    store_address = Address(host="127.0.0.1", port=base_port)
     names = ["entry-0", "entry-1"]
     primary = primary_of(names)
     (other,) = set(names) - {primary}
-    async with object_store(store_at, rates=Rates(1e5, 1e5)):
-        fleet = Fleet(store_at, base_port + 10)
+    async with object_store(store_address, rates=Rates(1e5, 1e5)):
+        fleet = Fleet(store_address, base_port + 10)
         try:
             for name in names:
                 await fleet.start(name)
             await fleet.start("hub-0", service="order-hub")
-            await until(lambda: heads(fleet) == {primary})
-            await until(lambda: fleet.nodes[primary].control.detector.held_epochs)
+            await wait_until(lambda: primaries(fleet) == {primary})
+            await wait_until(lambda: fleet.nodes[primary].control.detector.held_epochs)
             control = fleet.nodes[other].control
             epoch = control.plane.epoch
-            control.detector.held_epochs = NeverCleared({"chuo-hall": epoch})
+            control.detector.held_epochs = UndeletableEpochs({"chuo-hall": epoch})
             await fleet.kill(primary)
-            await until(lambda: primary not in known_names(fleet), seconds=20)
-            await until(lambda: control.plane.epoch > epoch)
+            await wait_until(lambda: primary not in known_names(fleet), seconds=20)
+            await wait_until(lambda: control.plane.epoch > epoch)
             hub = fleet.nodes["hub-0"].control.plane
-            await until(lambda: hub.epoch == control.plane.epoch)
+            await wait_until(lambda: hub.epoch == control.plane.epoch)
         finally:
             await fleet.stop()
 
 
-def heads(fleet):
+def primaries(fleet):
     return {"".join(node.control.plane.relays()[:1]) for node in fleet.nodes.values()}
 
 
@@ -140,5 +142,5 @@
     return {name for node in fleet.nodes.values() for name in node.members.known}
 
 
-def living(fleet):
+def incarnations_by_name(fleet):
     return {name: node.hello.incarnation for name, node in fleet.nodes.items()}
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -4,7 +4,7 @@
 
 from cornelspan_common.control import Announce
 from cornelspan_control.members import Members
-from cornelspan_control.ranking import CANDIDATES, Ranking
+from cornelspan_control.ranking import MAX_CANDIDATES, Ranking
 
 
 def members_of(names, *, service="order-hub", weight=1.0, leaving=()):
@@ -43,7 +43,7 @@
     small = Ranking(members_of(names_of(7))).candidates("order-hub", 5)
     large = Ranking(members_of(names_of(40))).candidates("order-hub", 5)
     assert sorted(small.names) == names_of(7)
-    assert len(large.names) == CANDIDATES
+    assert len(large.names) == MAX_CANDIDATES
     assert msgspec.msgpack.decode(small.encoded) == list(small.names)
 
 
--- a/tests/test_report_command.py
+++ b/tests/test_report_command.py
@@ -10,11 +10,11 @@
 from cornelspan_cli.report_page import render_page
 from cornelspan_control.burn import FAST
 from cornelspan_control.reports import build_report
-from test_reports import NOW, SNAPSHOT, burning
+from test_reports import NOW, SNAPSHOT, burning_summary
 
 
 def test_report_as_table_json_and_page():
-    report = build_report([burning()], SNAPSHOT, now=NOW)
+    report = build_report([burning_summary()], SNAPSHOT, now=NOW)
     out = io.StringIO()
     show_report(report, Console(file=out, width=80))
     assert "fast+slow" in out.getvalue()
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -13,7 +13,7 @@
 )
 
 NOW = 29_000_000
-PLACE = "chuo-hall"
+DATACENTRE = "chuo-hall"
 ORDERS = Profile(name="orders", objective=Objective(good_share=0.99))
 SNAPSHOT = Snapshot(
     revision=1,
@@ -25,7 +25,7 @@
 )
 
 
-def burning():
+def burning_summary():
     series = Series()
     for minute in range(NOW - 59, NOW + 1):
         series = add_minute(series, minute, 80, 20)
@@ -38,7 +38,11 @@
 
 
 def test_report_says_what_burns_and_what_is_missing():
-    summaries = [burning(), Summary("kita-hall", NOW - 45), Summary("atsubetsu-hall")]
+    summaries = [
+        burning_summary(),
+        Summary("kita-hall", NOW - 45),
+        Summary("atsubetsu-hall"),
+    ]
     report = build_report(summaries, SNAPSHOT, now=NOW)
     assert ("order-hub", FAST.name) in report.alerts
     assert report.missing == (
@@ -57,12 +61,14 @@
     configuration.apply(SNAPSHOT)
     levels = ServiceLevels(configuration)
     bad = tuple(Minute(NOW - age, 50, 50) for age in range(5))
-    levels.take(ServiceCounts("order-hub-1", 1, "order-hub", NOW, bad, b""), PLACE)
-    began = levels.check(NOW)
-    assert next(change.alert for change in began if change.firing) == FAST.name
+    levels.take(ServiceCounts("order-hub-1", 1, "order-hub", NOW, bad, b""), DATACENTRE)
+    raised = levels.check(NOW)
+    assert next(change.alert for change in raised if change.firing) == FAST.name
     assert levels.check(NOW) == []
     good = tuple(Minute(NOW + age, 100, 0) for age in range(1, 7))
-    levels.take(ServiceCounts("order-hub-1", 1, "order-hub", NOW + 6, good, b""), PLACE)
+    levels.take(
+        ServiceCounts("order-hub-1", 1, "order-hub", NOW + 6, good, b""), DATACENTRE
+    )
     ended = levels.check(NOW + 6)
     assert [c.alert for c in ended if not c.firing] == [FAST.name]
     assert {each.labels["window"] for each in levels.rates()} >= {"5 min", "1 h"}
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -15,16 +15,16 @@
 HERE = Address(host="127.0.0.1", port=BASE_PORT + 301)
 SETTINGS = StoreSettings(address=HERE, call_seconds=0.3, calls_per_second=1000)
 NOW = 29_000_000
-PLACE = "chuo-hall"
+DATACENTRE = "chuo-hall"
 
 
 def counts(agent, *minutes, complete=NOW - 1, service="order-hub"):
-    said = tuple(Minute(NOW - age, good, bad) for age, good, bad in minutes)
-    return ServiceCounts(agent, 1, service, complete, said, b"")
+    reports = tuple(Minute(NOW - age, good, bad) for age, good, bad in minutes)
+    return ServiceCounts(agent, 1, service, complete, reports, b"")
 
 
 async def sums(client, service="order-hub"):
-    summary, _ = (await read_summary(client, PLACE)).unwrap()
+    summary, _ = (await read_summary(client, DATACENTRE)).unwrap()
     totals = totals_over(summary.services[service].series, 60, now=NOW)
     return totals.good, totals.bad
 
@@ -32,12 +32,12 @@
 async def test_minutes_said_again_are_counted_once():
     async with object_store(HERE):
         client = StoreClient(SETTINGS)
-        relay = Collector(PLACE)
+        relay = Collector(DATACENTRE)
         for _ in range(3):
             relay.take(counts("order-hub-1", (10, 5, 1), (9, 4, 0)))
             (await relay.seal(client, now=NOW)).unwrap()
         assert await sums(client) == (9, 1)
-        assert relay.sealed_for("order-hub-1", 1) == NOW - 1
+        assert relay.sealed_minute("order-hub-1", 1) == NOW - 1
 
 
 async def test_minute_that_is_still_counted_in_waits():
@@ -45,7 +45,7 @@
     # only what the agent called complete, so the rest of the minute is not lost.
     async with object_store(HERE):
         client = StoreClient(SETTINGS)
-        relay = Collector(PLACE)
+        relay = Collector(DATACENTRE)
         relay.take(counts("order-hub-1", (5, 5, 0), (6, 1, 0), complete=NOW - 6))
         (await relay.seal(client, now=NOW)).unwrap()
         assert await sums(client) == (1, 0)
@@ -60,7 +60,7 @@
     # counted, so the second adds nothing.
     async with object_store(HERE):
         client = StoreClient(SETTINGS)
-        relays = [Collector(PLACE), Collector(PLACE)]
+        relays = [Collector(DATACENTRE), Collector(DATACENTRE)]
         for relay in relays:
             relay.take(counts("order-hub-1", (10, 5, 1)))
             relay.take(counts("order-hub-2", (10, 7, 0)))
@@ -74,7 +74,7 @@
     # others' minutes were sealed long ago; its own were not, so none is lost.
     async with object_store(HERE):
         client = StoreClient(SETTINGS)
-        relay = Collector(PLACE)
+        relay = Collector(DATACENTRE)
         relay.take(counts("order-hub-1", (30, 1, 0)))
         (await relay.seal(client, now=NOW)).unwrap()
         relay.take(counts("order-hub-2", (30, 0, 4)))
@@ -89,18 +89,18 @@
     generator = random.Random(7)
     async with object_store(HERE, seed=7) as store:
         client = StoreClient(SETTINGS, seed=7)
-        said = [counts(f"order-hub-{n}", (20 - n, n, 1)) for n in range(1, 8)]
-        relay = Collector(PLACE)
+        reports = [counts(f"order-hub-{n}", (20 - n, n, 1)) for n in range(1, 8)]
+        relay = Collector(DATACENTRE)
         for _ in range(12):
             store.faults.lost_answers = generator.choice([0.0, 0.5])
             store.faults.lost_requests = generator.choice([0.0, 0.5])
             if generator.random() < 0.5:
-                relay = Collector(PLACE)
-            for each in generator.sample(said, 5):
+                relay = Collector(DATACENTRE)
+            for each in generator.sample(reports, 5):
                 relay.take(each)
             await relay.seal(client, now=NOW)
         store.faults.lost_answers = store.faults.lost_requests = 0.0
-        for each in said:
+        for each in reports:
             relay.take(each)
         (await relay.seal(client, now=NOW)).unwrap()
         assert await sums(client) == (sum(range(1, 8)), 7)
@@ -109,7 +109,7 @@
 async def test_store_outage_keeps_everything_for_later():
     async with object_store(HERE) as store:
         client = StoreClient(SETTINGS)
-        relay = Collector(PLACE)
+        relay = Collector(DATACENTRE)
         relay.take(counts("order-hub-1", (10, 5, 1)))
         store.faults.down = True
         assert isinstance(await relay.seal(client, now=NOW), Err)
@@ -121,7 +121,7 @@
 async def test_silent_agent_is_named():
     async with object_store(HERE):
         client = StoreClient(SETTINGS)
-        relay = Collector(PLACE)
+        relay = Collector(DATACENTRE)
         for agent in ("order-hub-1", "order-hub-2"):
             relay.take(counts(agent, (30, 1, 0), complete=NOW - 10))
         (await relay.seal(client, now=NOW - 10)).unwrap()
