--- a/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
@@ -56,7 +56,7 @@
         reports to relays elsewhere, and each must add to the same object.
         """
         collector = self.collectors.setdefault(datacentre, Collector(datacentre))
-        collector.take(counts)
+        collector.record(counts)
         return Sealed(collector.sealed_minute(counts.agent, counts.incarnation))
 
     def check(self, now: int) -> list[AlertChange]:
--- a/packages/cornelspan-control/src/cornelspan_control/__init__.py
+++ b/packages/cornelspan-control/src/cornelspan_control/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the platform's object store, configuration and membership."""
+"""Control plane: object store client, configuration and membership."""
--- a/packages/cornelspan-control/src/cornelspan_control/burn.py
+++ b/packages/cornelspan-control/src/cornelspan_control/burn.py
@@ -1,10 +1,10 @@
-"""Service-level burn: how fast services use up the failures their objectives allow.
+"""Burn rates: how fast services use the error budget of their objectives.
 
-A burn rate of 1 uses the whole budget in exactly the objective's window. An alert asks
-for a high rate over a long window, so that it matters, and over a short one too, so
-that it ends soon after the trouble does. Source: Beyer and others, "The Site
-Reliability Workbook" (2018), chapter 5, "Multiwindow, Multi-Burn-Rate Alerts"; 14.4
-over an hour is 2 % of a 30-day budget, 1 over three days is 10 %.
+A burn rate of 1 uses the whole budget in exactly the objective's window. An alert fires
+on a high rate over a long window, which shows that it is significant, and over a short
+window, which makes it clear soon after the failures stop. Source: Beyer and others,
+"The Site Reliability Workbook" (2018), chapter 5, "Multiwindow, Multi-Burn-Rate
+Alerts"; 14.4 over an hour is 2 % of a 30-day budget, 1 over three days is 10 %.
 """
 
 import math
@@ -23,7 +23,7 @@
 
 
 class Bucket(msgspec.Struct, frozen=True, array_like=True):
-    """Requests of one minute, hour or day, numbered from the epoch."""
+    """Counts of requests in one minute, hour or day, numbered since the epoch."""
 
     number: int
     good: int
@@ -31,7 +31,7 @@
 
 
 class Series(msgspec.Struct, frozen=True, array_like=True):
-    """Counts of a service at three resolutions; empty buckets are left out."""
+    """Counts of a service at three resolutions, without empty buckets."""
 
     minutes: tuple[Bucket, ...] = ()
     hours: tuple[Bucket, ...] = ()
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Totals:
-    """Good and bad requests over some time."""
+    """Good and bad requests over a span of time."""
 
     good: int = 0
     bad: int = 0
@@ -52,7 +52,7 @@
 
     @property
     def bad_share(self) -> float:
-        """Share of bad requests, 0 where there were none at all."""
+        """Share of bad requests; 0 if there were no requests."""
         return self.bad / self.requests if self.requests else 0.0
 
 
@@ -86,9 +86,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Burn:
-    """Burn of one service: rates by window name, and what is left of its budget.
+    """Burn rates of one service by window name, and the rest of its error budget.
 
-    ``budget_left`` is 1 for an untouched budget and negative for an overdrawn one.
+    ``budget_left`` is 1 for an unused budget and negative for an exceeded one.
     ``exhausted_in_days`` assumes the rate of the last hour, and is infinite at rate 0.
     """
 
@@ -102,7 +102,7 @@
 
 
 def add_minute(series: Series, minute: int, good: int, bad: int) -> Series:
-    """Return the series with one more minute's counts, old buckets left out."""
+    """Return the series with the counts of a minute added and old buckets dropped."""
     hour = minute // HOUR_MINUTES
     day = minute // DAY_MINUTES
     return Series(
@@ -113,7 +113,7 @@
 
 
 def merge_series(first: Series, second: Series) -> Series:
-    """Return the sum of two series, of two data centres for example."""
+    """Return the sum of two series, for example of two data centres."""
     return Series(
         _merge_buckets(first.minutes, second.minutes),
         _merge_buckets(first.hours, second.hours),
@@ -124,8 +124,8 @@
 def totals_over(series: Series, minutes: int, *, now: int) -> Totals:
     """Return the counts of the last minutes.
 
-    Beyond an hour whole hours are counted, beyond three days whole days, so up to one
-    bucket more than asked for.
+    Over an hour, whole hours are counted, and over three days whole days. The result
+    then includes up to one bucket more than the window.
 
     Args:
         series: A service's counts.
@@ -140,16 +140,16 @@
 
 
 def burn_rate(totals: Totals, objective: Objective) -> float:
-    """Return how many times faster than allowed the budget is used."""
+    """Return how many times faster than allowed the error budget is used."""
     return totals.bad_share / (1 - objective.good_share)
 
 
 def burn_of(service: str, series: Series, objective: Objective, *, now: int) -> Burn:
-    """Work out a service's burn from its counts.
+    """Return a service's burn rates, budget and alerts.
 
     Args:
-        service: Its name.
-        series: Its counts, of all data centres.
+        service: Name of the service.
+        series: Its counts in all data centres.
         objective: The objective of its profile.
         now: The current minute.
     """
@@ -173,7 +173,10 @@
 def _is_firing(
     rule: AlertRule, rates: dict[str, float], totals: dict[str, Totals]
 ) -> bool:
-    """Whether an alert holds; with few requests one failure would set it off."""
+    """Whether an alert fires.
+
+    It doesn't fire below a minimum of requests, where one failure would be enough.
+    """
     if totals[rule.long.name].requests < MIN_ALERT_REQUESTS:
         return False
     return rates[rule.short.name] >= rule.rate and rates[rule.long.name] >= rule.rate
--- a/packages/cornelspan-control/src/cornelspan_control/changes.py
+++ b/packages/cornelspan-control/src/cornelspan_control/changes.py
@@ -5,11 +5,11 @@
         case Ok(accepted): ...
         case Err(Conflict() as conflict): ...
 
-A change writes its new version and index under its own id, then moves the head. The
-head's conditional update is the moment of acceptance: before it nothing counts, after
-it every daemon will put it in force. If the answer is lost, the change reads the head
-back: its own id there settles it. If the id is not there, the same conditional update
-is sent again, so that a first one still on its way can't take effect as well.
+A change writes its new version and index under its own id, then updates the head. The
+conditional update of the head is the commit point: before it the change has no effect,
+after it every daemon will put it in force. If the response is lost, the head is read
+again, and the change was accepted if the head lists its id. If it doesn't, the same
+conditional update is sent again, so that at most one of the two can take effect.
 """
 
 import asyncio
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """A change that was refused by validation; nothing was written."""
+    """The change is not valid; nothing was written."""
 
     reason: str
 
@@ -77,9 +77,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Somebody else changed the same profile or service first.
+    """The profile or service has changed since the operator read it.
 
-    ``current`` is the version now in force, None if they deleted it.
+    ``current`` is the version now in force, None if it was deleted or can't be read.
     """
 
     kind: Kind
@@ -95,7 +95,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Indeterminate:
-    """Whether the change took effect is unknown; its id will settle it later."""
+    """Whether the change took effect is unknown.
+
+    Calling ``accept`` with the same change later finds out.
+    """
 
     change: str
     reason: str
@@ -106,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotWritten:
-    """The store could not take the change, and it is surely not accepted."""
+    """The store is unavailable or refused the change, which was not accepted."""
 
     reason: str
 
@@ -119,10 +122,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What an operator wants: a new value of a profile or service, None to delete it.
-
-    ``base`` is the version that the operator saw, "" when it must not exist yet, and
-    ``min_version`` the head's object version it was seen at.
+    """An operator's change to one profile or service.
+
+    Attributes:
+        value: The new value; None deletes the profile or service.
+        change: Id of the change, and of the version that it creates.
+        at: When it was made, in seconds since the epoch.
+        base: Id of the version that the operator saw; "" if there must be none yet.
+        min_version: Object version of the head when ``base`` was read.
     """
 
     kind: Kind
@@ -144,7 +151,7 @@
     base: str,
     min_version: int = NO_VERSION,
 ) -> Change:
-    """Return a change with an id of its own."""
+    """Return a change with a new random id."""
     change = secrets.token_hex(CHANGE_ID_BYTES)
     return Change(kind, name, value, author, base, change, time.time(), min_version)
 
@@ -152,15 +159,16 @@
 async def accept(
     client: StoreClient, change: Change, *, timeout_seconds: float = TIMEOUT_SECONDS
 ) -> Result[AcceptedChange, ChangeError]:
-    """Bring a change into the configuration, exactly once.
+    """Apply a change to the configuration, at most once.
 
-    A change of another profile or service that comes in between is no conflict; the
-    change is then validated again on top of it.
+    A concurrent change to another profile or service is no conflict; this change is
+    then validated again on top of it.
 
     Args:
         client: The store.
-        change: The change; calling again with the same one never applies it twice.
-        settle_seconds: How long to try while the store gives no clear answer.
+        change: The change. The call is idempotent for the same change.
+        timeout_seconds: How long to retry while the store is unavailable or the outcome
+            is unknown.
 
     Returns:
         The accepted change, or why it was not accepted.
@@ -179,7 +187,14 @@
 
 
 class _ChangeAttempt:
-    """One change on its way: what is known of the head, and what was sent."""
+    """Progress of one change.
+
+    Attributes:
+        min_version: Object version of the head known to exist; older reads are stale.
+        head_sent: Whether an update of the head was sent whose outcome is unknown.
+        first_sent_revision: Revision of the head before the first such update.
+        reason: Why the last attempt failed.
+    """
 
     def __init__(
         self, client: StoreClient, change: Change, *, min_version: int
@@ -192,7 +207,7 @@
         self.reason = ""
 
     async def run(self) -> Result[AcceptedChange, ChangeError] | None:
-        """Try once; None if it has to be tried again."""
+        """Try once; return None if it has to be retried."""
         match await read_head(self.client, min_version=self.min_version):
             case Err(error):
                 return self.record_failure(error)
@@ -201,7 +216,11 @@
         if accepted := head.find(self.change.change):
             return Ok(accepted)
         if self.head_sent and head.changes_since(self.first_sent_revision) is None:
-            return Err(Indeterminate(self.change.change, "too many changes came since"))
+            return Err(
+                Indeterminate(
+                    self.change.change, "the head no longer lists all later changes"
+                )
+            )
         match await read_index(self.client, head):
             case Err(error):
                 return self.record_failure(error)
@@ -212,7 +231,7 @@
         return await self.write(head, index, version)
 
     async def validate(self, index: Index) -> ChangeError | None:
-        """Validate against what is in force now."""
+        """Return why the change can't be applied to an index, or None if it can."""
         change = self.change
         current = index.version(change.kind, change.name)
         if current != change.base:
@@ -224,7 +243,7 @@
         return _validate_service(change, index)
 
     async def conflict(self, current: str) -> Conflict:
-        """Return the conflict with the other's version in it."""
+        """Return a conflict that holds the current version."""
         kind, name = self.change.kind, self.change.name
         if not current:
             return Conflict(kind, name, None)
@@ -234,7 +253,11 @@
     async def write(
         self, head: Head, index: Index, version: int
     ) -> Result[AcceptedChange, ChangeError] | None:
-        """Write version and index, then move the head."""
+        """Write the version and the index, then update the head.
+
+        Returns:
+            None if it has to be retried.
+        """
         change = self.change
         expired: tuple[str, ...] = ()
         if change.value is not None:
@@ -265,7 +288,7 @@
         return None
 
     async def ancestors(self) -> Result[tuple[str, ...], object]:
-        """Return the ids of the versions before the new one, newest first."""
+        """Return the ids of the previous versions, newest first."""
         change = self.change
         if not change.base:
             return Ok(())
@@ -273,7 +296,11 @@
         return read.map(lambda seen: (change.base, *seen.ancestors))
 
     async def create(self, name: str, record: Version | Index) -> object | None:
-        """Write an object that never changes; one that is there already is ours."""
+        """Write an immutable object and return the error, if any.
+
+        Its name contains the id of this change, so an object of that name was written
+        by an earlier attempt and is no conflict.
+        """
         value = msgspec.json.encode(record)
         match await self.client.put(name, value, expected=NO_VERSION):
             case Ok(_) | Err(VersionConflict()):
@@ -282,7 +309,7 @@
                 return error
 
     async def update_head(self, head: Head, version: int) -> bool:
-        """Move the head; False if it did not, or nobody knows."""
+        """Update the head; return False if that failed or the outcome is unknown."""
         value = msgspec.json.encode(head)
         match await self.client.put(HEAD_NAME, value, expected=version):
             case Ok(_):
@@ -298,7 +325,10 @@
         return False
 
     async def clean_up(self, head: Head, expired: tuple[str, ...]) -> None:
-        """Delete what is no longer kept; what stays behind by a failure is harmless."""
+        """Delete expired versions and the oldest index.
+
+        Errors are ignored, since an object that is left over has no effect.
+        """
         change = self.change
         for old in expired:
             await self.client.delete(version_name(change.kind, change.name, old))
@@ -309,7 +339,12 @@
     def record_failure(
         self, error: object
     ) -> Result[AcceptedChange, ChangeError] | None:
-        """Note why this try failed; a refusal for good ends the change."""
+        """Record why an attempt failed.
+
+        Returns:
+            An error if the store refused the call permanently and no update of the head
+            may have taken effect, else None to retry.
+        """
         self.reason = str(error)
         if (
             isinstance(error, CallRefused)
@@ -320,7 +355,7 @@
         return None
 
     def timeout_error(self) -> ChangeError:
-        """Return the error for a change that found no clear answer in time."""
+        """Return the error for a change that was not accepted within the timeout."""
         if self.head_sent:
             return Indeterminate(self.change.change, self.reason)
         return NotWritten(self.reason)
@@ -348,7 +383,7 @@
     known = entry.service if entry else service
     if known.address != service.address:
         return Invalid(
-            f"service {service.name}: its address {known.address} never changes, "
+            f"service {service.name}: its address {known.address} can't be changed, "
             "since running flows would reach another service; create a new service"
         )
     for name, entry in index.services.items():
@@ -370,7 +405,7 @@
 
 
 def _index_with(index: Index, change: Change) -> Index:
-    """Return the index with the change in it."""
+    """Return a copy of the index with the change applied."""
     profiles, services = dict(index.profiles), dict(index.services)
     match change.value:
         case None if change.kind == "profiles":
--- a/packages/cornelspan-control/src/cornelspan_control/configuration.py
+++ b/packages/cornelspan-control/src/cornelspan_control/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force in one process."""
+"""The configuration in force in one process, with snapshots and deltas of it."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 
 class Snapshot(Checked, frozen=True, kw_only=True):
-    """A whole configuration at one revision, as it passes between processes."""
+    """A complete configuration at one revision, as sent between processes."""
 
     revision: int = 0
     profiles: tuple[Profile, ...] = ()
@@ -15,7 +15,7 @@
 
 
 class Delta(Checked, frozen=True, kw_only=True):
-    """What changed between two revisions: new values whole, and names removed."""
+    """Changes between two revisions: new values in full, and names removed."""
 
     base: int
     revision: int
@@ -27,10 +27,11 @@
 
 @dataclass
 class Configuration:
-    """What is in force here; it only ever moves forward.
+    """The configuration in force; its revision never decreases.
 
-    A late or stale read brings an older snapshot. Applied, it would take back a change
-    that the operator was told is accepted; so ``apply`` refuses whatever is not newer.
+    A delayed or stale read may return an older snapshot. Applying it would revert a
+    change that was reported to the operator as accepted, so ``apply`` refuses every
+    snapshot that is not newer.
     """
 
     revision: int = 0
@@ -53,10 +54,10 @@
         return True
 
     def advance(self, delta: Delta) -> bool:
-        """Put a delta in force, if it starts at or before here and ends after.
+        """Put a delta in force if it covers the present revision and is newer.
 
-        A delta that starts after the revision in force would leave out the changes
-        between, so it is refused, and the receiver asks for a snapshot.
+        A delta whose base is after the present revision lacks the changes in between.
+        It is refused, and the receiver requests the missing changes.
 
         Returns:
             Whether it was put in force.
@@ -80,12 +81,12 @@
         )
 
     def profile_of(self, service: str) -> Profile | None:
-        """Return the profile that a service runs under, if both are known."""
+        """Return the profile of a service, if both are known."""
         known = self.services.get(service)
         return self.profiles.get(known.profile) if known else None
 
     def snapshot(self) -> Snapshot:
-        """Return what is in force as one value."""
+        """Return the configuration in force as a snapshot."""
         return Snapshot(
             revision=self.revision,
             profiles=tuple(self.profiles.values()),
--- a/packages/cornelspan-control/src/cornelspan_control/configuration_reader.py
+++ b/packages/cornelspan-control/src/cornelspan_control/configuration_reader.py
@@ -1,4 +1,4 @@
-"""Reading the accepted configuration from the store, whole or by what changed."""
+"""Reads the accepted configuration from the store, as a snapshot or a delta."""
 
 import asyncio
 from collections.abc import Iterable
@@ -30,9 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CurrentVersion:
-    """A profile or service as an operator sees it, to base a change on.
+    """A profile or service as read from the store, to base a change on.
 
-    ``version`` is None if there is none of that name.
+    Attributes:
+        head: Head of the configuration that was read.
+        min_version: Object version of that head; later reads must not be older.
+        version: The version in force; None if the name doesn't exist.
     """
 
     head: Head
@@ -41,14 +44,14 @@
 
     @property
     def base(self) -> str:
-        """The id to base a change on."""
+        """Id of the version in force, "" if there is none."""
         return self.version.change if self.version else ""
 
 
 async def read_current(
     client: StoreClient, kind: Kind, name: str, *, min_version: int = NO_VERSION
 ) -> Result[CurrentVersion, ReadError]:
-    """Read one profile or service as in force now."""
+    """Read the current version of one profile or service."""
     match await read_head(client, min_version=min_version):
         case Err(error):
             return Err(error)
@@ -96,12 +99,12 @@
 async def read_newer(
     client: StoreClient, revision: int
 ) -> Result[Snapshot | Delta | None, ReadError]:
-    """Read what was accepted after a revision.
+    """Read the changes accepted after a revision.
 
     Returns:
-        None if nothing was, the changes if the head still lists them all, else the
-        whole configuration. A stale read can only give None or a lower revision than
-        the newest, never one at or below the one asked about.
+        None if there are none, a delta if the head still lists all of them, else a
+        snapshot. A stale read may return None or miss the newest changes, but never
+        returns a revision at or below the given one.
     """
     match await read_head(client):
         case Err(error):
@@ -130,7 +133,7 @@
 async def _delta(
     client: StoreClient, base: int, revision: int, changes: Iterable[AcceptedChange]
 ) -> Result[Delta, ReadError]:
-    """Read the newest version of each thing that changed."""
+    """Read the newest version of each profile and service that changed."""
     newest = {(accepted.kind, accepted.name): accepted for accepted in changes}
     wanted = [
         (kind, name, accepted.change)
@@ -161,7 +164,7 @@
 async def _read_all(
     client: StoreClient, wanted: list[tuple[Kind, str, str]]
 ) -> Result[list[Version], ReadError]:
-    """Read versions a few at a time, in order; the first failure ends it."""
+    """Read versions in order, a few in parallel; stop at the first error."""
     versions: list[Version] = []
     for start in range(0, len(wanted), PARALLEL_READS):
         part = wanted[start : start + PARALLEL_READS]
--- a/packages/cornelspan-control/src/cornelspan_control/control_plane.py
+++ b/packages/cornelspan-control/src/cornelspan_control/control_plane.py
@@ -1,4 +1,4 @@
-"""Configuration and membership of one daemon, run beside its data path.
+"""Runs the control plane of one daemon: configuration and membership.
 
 async with control_plane(settings, configuration, members, ...) as control:
     async with serve_peers(settings.listen, hello, streams, control.serve):
@@ -28,23 +28,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Control:
-    """The running parts of the control plane in one daemon."""
+    """The running control plane of one daemon."""
 
     plane: Plane
     detector: FailureDetector
-    relays: RelayLinks
+    relay_links: RelayLinks
     publisher: RosterPublisher
 
     async def serve(self, peer: Peer) -> None:
-        """Serve one process that has connected here."""
+        """Serve one process that has connected to this daemon."""
         await serve_subscriber(self.plane, self.detector, peer)
 
     def announce(self) -> None:
-        """Say anew what this daemon is, after its announcement has changed."""
+        """Send this daemon's announcement again, after it has changed."""
         self.plane.announce_self()
 
     def leave(self) -> None:
-        """Say that this daemon's life ends now, in order."""
+        """Announce the graceful shutdown of this daemon."""
         gone = Gone(self.plane.name, self.plane.incarnation)
         self.plane.send_to_relays(gone)
         self.plane.broadcast(gone)
@@ -64,19 +64,20 @@
     tls: ssl.SSLContext | None = None,
     seed: int | None = None,
 ) -> AsyncIterator[Control]:
-    """Keep configuration and members current as long as the context lasts.
+    """Keep configuration and members up to date within the context.
 
     Args:
         settings: The daemon's settings.
-        configuration: What is in force; kept current here.
-        members: The members known; kept current here.
-        hello: What the daemon says of itself on its streams.
-        announcement: Returns what the daemon announces of itself now.
-        renew: Called with a new incarnation when others took this life for ended.
-        on_members: Called after members came or went.
-        on_configuration: Called after a newer configuration came in force.
-        tls: Client context for streams and store; None for plain ones.
-        seed: Seed of jitter, for tests.
+        configuration: The configuration in force; updated in place.
+        members: The known members; updated in place.
+        hello: First message of the daemon on each of its streams.
+        announcement: Returns the current announcement of the daemon.
+        on_new_incarnation: Called with a new incarnation number when others have
+            removed the current one while the daemon is alive.
+        on_members: Called after members were added, changed or removed.
+        on_configuration: Called after a newer configuration was put in force.
+        tls: Client context for streams and store; None for plain TCP.
+        seed: Seed of the jitter, for tests.
     """
     store = StoreClient(settings.store, tls=tls, seed=seed)
     async with task_group() as tasks:
@@ -102,21 +103,23 @@
 
 def _build(plane: Plane) -> Control:
     detector = FailureDetector(plane)
-    relays = RelayLinks(plane, detector)
-    plane.send_to_relays = relays.send
-    return Control(plane, detector, relays, RosterPublisher(plane))
+    relay_links = RelayLinks(plane, detector)
+    plane.send_to_relays = relay_links.send
+    return Control(plane, detector, relay_links, RosterPublisher(plane))
 
 
 def _start(control: Control) -> None:
-    """Start the tasks; only balancers have those of relays."""
+    """Start the tasks; only balancers can be relays and need all of them."""
     plane, tasks = control.plane, control.plane.tasks
-    relays = control.relays
-    tasks.start(relays.run(), name="follow relays")
-    tasks.start(relays.contact_seeds(), name="meet seeds")
-    tasks.start(poll_without_relays(plane, lambda: relays.connected), name="fall back")
+    relay_links = control.relay_links
+    tasks.start(relay_links.run(), name="follow relays")
+    tasks.start(relay_links.contact_seeds(), name="contact seeds")
+    tasks.start(
+        poll_without_relays(plane, lambda: relay_links.connected), name="poll store"
+    )
     tasks.start(read_rosters(plane), name="read members")
     if plane.announcement().role == "balancer":
         tasks.start(watch_store(plane), name="watch store")
         tasks.start(control.detector.run(), name="judge")
         tasks.start(control.publisher.run(), name="publish members")
-        tasks.start(send_heartbeats(plane), name="beat to subscribers")
+        tasks.start(send_heartbeats(plane), name="send heartbeats")
--- a/packages/cornelspan-control/src/cornelspan_control/dispatch.py
+++ b/packages/cornelspan-control/src/cornelspan_control/dispatch.py
@@ -1,4 +1,4 @@
-"""What a process of the control plane does with each message of another."""
+"""Handles the messages of the control plane."""
 
 import time
 
@@ -25,7 +25,7 @@
 def handle_message(
     plane: Plane, detector: FailureDetector, peer: Peer, message: Message
 ) -> None:
-    """Act on one message; what doesn't belong here is counted as refused."""
+    """Handle one message; count it as refused if it is of an unexpected type."""
     match message:
         case Heartbeat():
             _handle_heartbeat(plane, peer, message)
@@ -56,7 +56,7 @@
 
 
 def _handle_heartbeat(plane: Plane, peer: Peer, heartbeat: Heartbeat) -> None:
-    """Note that a member lives; the one with the older revision is brought up."""
+    """Record that a member is alive, and request its configuration if it is newer."""
     if heartbeat.revision > plane.configuration.revision:
         peer.send(RevisionRequest(plane.configuration.revision))
     if peer.hello.datacentre == plane.datacentre:
@@ -65,15 +65,16 @@
         plane.last_heard[heartbeat.name] = time.monotonic()
         plane.last_heartbeats[heartbeat.name] = heartbeat
         return
-    removed = plane.members.tombstones.get(heartbeat.name, 0)
-    if heartbeat.incarnation <= removed:
-        # It was taken for dead and lives. Told so, it begins a new life and says so.
+    removed_incarnation = plane.members.tombstones.get(heartbeat.name, 0)
+    if heartbeat.incarnation <= removed_incarnation:
+        # The sender was removed but is alive. Told so, it starts a new incarnation and
+        # announces it.
         sender_datacentre = peer.hello.datacentre
         update = Membership(
             sender_datacentre,
             plane.epochs.get(sender_datacentre, 0),
             (),
-            (Gone(heartbeat.name, removed),),
+            (Gone(heartbeat.name, removed_incarnation),),
         )
         peer.send(update)
 
@@ -89,14 +90,14 @@
 
 
 def _handle_subscribe(plane: Plane, peer: Peer, subscription: Subscribe) -> None:
-    """Send what a new subscriber lacks, and all news from now on."""
+    """Register a subscriber and send it the members and configuration it lacks."""
     sender_datacentre = peer.hello.datacentre
     subscriber = Subscriber(
         peer, subscription, sender_datacentre, tuple(plane.relays(sender_datacentre))
     )
     plane.subscribers[peer] = subscriber
-    # A stream that has just come is a sign of life; without this the end of the one
-    # before it would have each member probed after its start.
+    # The new stream shows that the member is alive. Otherwise the end of its previous
+    # stream would cause a probe of every member that has just connected.
     plane.last_heard[subscription.name] = time.monotonic()
     digests = dict(subscription.digests)
     for datacentre in plane.members.datacentres():
--- a/packages/cornelspan-control/src/cornelspan_control/failure_detection.py
+++ b/packages/cornelspan-control/src/cornelspan_control/failure_detection.py
@@ -1,8 +1,9 @@
-"""Who of a data centre has died: suspected by its primary relay, judged by two.
+"""Failure detection for the members of a data centre.
 
-A single observer errs when its own link or its own pause is at fault. So the relay asks
-a second process, which has either heard from the member or tries to reach it, and the
-relay tries too. Only when neither gets an answer is the member's life taken for ended.
+The primary relay checks each member that has sent nothing for too long. It probes the
+member itself and asks a second balancer, which has either heard from the member
+recently or probes it too. The member is removed only if both get no answer: a single
+observer is wrong when its own link fails or its own process was paused.
 """
 
 import asyncio
@@ -26,9 +27,18 @@
 
 
 class FailureDetector:
-    """The judgements under way in one relay.
-
-    ``confirmed_dead``, ``found_alive`` and ``unconfirmed`` count how they ended.
+    """Checks the silent members of the data centres whose primary relay this is.
+
+    Attributes:
+        question_ids: Numbers that match a ``Verdict`` to its ``Suspect`` message.
+        pending_verdicts: Futures of the questions sent and not yet answered, by number.
+        stream_ended: Monotonic time at which a member's stream ended.
+        check_slots: Limits how many members are checked at the same time.
+        held_epochs: Epoch that this relay started for each data centre that it checks.
+        confirmed_dead: Checks after which the member was removed.
+        found_alive: Checks in which the member answered a probe or the second balancer
+            reported it alive.
+        unconfirmed: Checks without a verdict of a second balancer; the member stays.
     """
 
     def __init__(self, plane: Plane) -> None:
@@ -44,21 +54,20 @@
         self.unconfirmed = 0
 
     def check_soon(self, name: str) -> None:
-        """Look at a member soon, since its stream has ended."""
+        """Check a member after ``lost_seconds``, because its stream has ended."""
         self.stream_ended[name] = time.monotonic()
 
     def receive_verdict(self, verdict: Verdict) -> None:
-        """Take a witness's answer."""
+        """Resolve the pending question that a verdict answers."""
         answer = self.pending_verdicts.pop(verdict.question, None)
         if answer is not None and not answer.done():
             answer.set_result(verdict.alive)
 
     async def run(self) -> None:
-        """Look for silent members, as long as the daemon runs.
+        """Check silent members periodically until cancelled.
 
-        After a pause of its own this process has heard nobody; judged by that silence
-        all would be dead. The pause shows as a turn that took too long, and then
-        everyone gets the whole time again.
+        If this process was paused, all members look silent to it. An iteration that
+        took too long reveals the pause, and all timeouts then start again.
         """
         interval = min(self.control.heartbeat_seconds, self.control.lost_seconds) / 2
         last_turn = time.monotonic()
@@ -74,10 +83,10 @@
             )
 
     def _update_held_epochs(self) -> list[str]:
-        """Return the data centres judged here; each new one begins with an epoch.
+        """Return the data centres to check; start a new epoch for each new one.
 
-        Who judged there before may have been paused and not know it. Under the new
-        epoch everyone refuses what it says then.
+        The previous primary may have been paused without noticing. After the new epoch
+        has started, all members ignore removals that it sends under the old one.
         """
         plane = self.plane
         datacentres = plane.primary_datacentres()
@@ -93,7 +102,7 @@
         return datacentres
 
     def _begin_epoch(self, datacentre: str) -> None:
-        """Judge on under an epoch that nobody else has had."""
+        """Start the next epoch of a data centre and broadcast it."""
         epoch = self.plane.epochs.get(datacentre, 0) + 1
         self.plane.epochs[datacentre] = epoch
         self.held_epochs[datacentre] = epoch
@@ -112,10 +121,10 @@
                 continue
             last_heard = plane.last_heard.setdefault(member.name, now)
             timeout = self.control.silent_seconds
-            last_ended = self.stream_ended.get(member.name, 0.0)
-            if last_ended > last_heard:
+            stream_ended = self.stream_ended.get(member.name, 0.0)
+            if stream_ended > last_heard:
                 timeout = min(timeout, self.control.lost_seconds)
-                last_heard = last_ended
+                last_heard = stream_ended
             if now - last_heard > timeout:
                 yield member
 
@@ -132,19 +141,22 @@
             self.unconfirmed += 1
             return
         self.confirmed_dead += 1
-        log.warning("member judged dead", extra={"member": member.name})
+        log.warning("member confirmed dead", extra={"member": member.name})
         if member.role == RELAY_ROLE:
-            # It may have been the primary for less than a turn of this loop, under the
-            # epoch that this relay holds: two that start together both begin with the
-            # first. Paused, it would speak under it when it wakes, and be believed.
+            # Two relays that start together both use the first epoch, so the dead one
+            # may have been primary under the epoch that this relay holds, for less than
+            # one iteration of this loop. If it was only paused, its removals would be
+            # accepted when it resumes; under a new epoch they are ignored.
             self._begin_epoch(member.datacentre)
         gone = Gone(member.name, member.incarnation)
         self.plane.remove(gone, member.datacentre)
 
     async def _ask_balancer(self, member: Announce) -> bool | None:
-        """Ask a witness whether a member lives; None if no witness answers.
+        """Ask another balancer whether a member is alive.
 
-        Where this is the only balancer known, its own failed attempt has to do.
+        Returns:
+            The verdict; None if no balancer answers in time. False if no other balancer
+            is known, so that the failed probe of this one is enough.
         """
         plane = self.plane
         peers = self._other_balancers(member)
@@ -181,7 +193,10 @@
 
 
 async def probe(plane: Plane, member: Announce | Suspect) -> bool:
-    """Whether a process of that name and life answers at its address."""
+    """Whether a process with the member's name answers at its address.
+
+    An answer of an older incarnation doesn't count.
+    """
     address = Address(host=member.host, port=member.port)
     streams = plane.settings.streams
     async with open_peer(address, plane.hello, streams, tls=plane.tls) as opened:
@@ -195,7 +210,11 @@
 
 
 async def answer_suspect(plane: Plane, peer: Peer, suspect: Suspect) -> None:
-    """Answer another relay's question by what was heard, else by trying."""
+    """Answer another relay's question whether a member is alive.
+
+    A member that has sent something recently on an open stream is alive; any other is
+    probed.
+    """
     last_heard = plane.last_heard.get(suspect.name, 0.0)
     timeout = plane.settings.control.heartbeat_seconds * 1.5
     known = plane.members.is_alive(suspect.name, suspect.incarnation)
--- a/packages/cornelspan-control/src/cornelspan_control/fleet_status.py
+++ b/packages/cornelspan-control/src/cornelspan_control/fleet_status.py
@@ -1,4 +1,4 @@
-"""Asking relays what they know: the status of a whole fleet, for operators."""
+"""Queries relays for the status of the whole fleet, for operators."""
 
 import asyncio
 import time
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetStatus:
-    """What the relays of all data centres answered, and what is amiss."""
+    """The status reports of all data centres, and warnings."""
 
     answers: tuple[Status, ...]
     warnings: tuple[str, ...]
@@ -33,7 +33,7 @@
         return max((answer.revision for answer in self.answers), default=0)
 
     def members(self) -> list[MemberStatus]:
-        """Return each member as the relay that heard it last sees it, by name."""
+        """Return the newest status of each member, sorted by name."""
         newest: dict[str, MemberStatus] = {}
         for answer in self.answers:
             for status in answer.members:
@@ -43,7 +43,7 @@
         return [newest[name] for name in sorted(newest)]
 
     def members_behind(self, revision: int) -> list[str]:
-        """Return the members that don't have a revision in force, by name."""
+        """Return the names of members with an older revision in force."""
         return [s.member.name for s in self.members() if s.revision < revision]
 
 
@@ -56,12 +56,12 @@
 async def read_fleet_status(
     client: StoreClient, settings: ClientSettings, *, name: str
 ) -> FleetStatus:
-    """Ask one relay of each data centre, and the balancers named in the settings.
+    """Query one relay of each data centre and the balancers named in the settings.
 
     Args:
         client: The store, which lists the members of each data centre.
-        settings: Balancers to ask besides, and limits of the streams.
-        name: Name of the asking client.
+        settings: Balancers to query as well, and limits of the streams.
+        name: Name of this client.
     """
     members, warnings = await _read_members(client)
     centres = members.datacentres()
@@ -116,7 +116,7 @@
     datacentre: str,
     name: str,
 ) -> Result[Status, StreamError]:
-    """Ask the relays of a data centre one after the other until one answers."""
+    """Query the relays of a data centre in turn until one answers."""
     answer: Result[Status, StreamError] = Err(StreamError(datacentre, "no relay"))
     for relay in select_relays(members, datacentre):
         member = members.known[relay]
--- a/packages/cornelspan-control/src/cornelspan_control/members.py
+++ b/packages/cornelspan-control/src/cornelspan_control/members.py
@@ -1,4 +1,4 @@
-"""The members that one process knows, by name and by service."""
+"""The members known to one process, by name and by service."""
 
 from dataclasses import dataclass, field
 
@@ -14,8 +14,8 @@
 class Members:
     """Balancers and agents as last announced, each in its newest incarnation.
 
-    ``version`` grows with every change, so that what is worked out from the members
-    can be kept until they change.
+    ``tombstones`` holds the last removed incarnation of each name. ``version`` grows
+    with every change, so that values computed from the members can be cached.
     """
 
     known: dict[str, Announce] = field(default_factory=dict)
@@ -23,11 +23,11 @@
     version: int = 0
 
     def announce(self, member: Announce) -> bool:
-        """Take in an announcement.
+        """Record an announcement.
 
         Returns:
-            False if it is old: of an earlier life than the one known or gone, or
-            nothing new.
+            False if it changes nothing: its incarnation was removed, or the member is
+            already known in this or a newer state.
         """
         if member.incarnation <= self.tombstones.get(member.name, 0):
             return False
@@ -39,7 +39,11 @@
         return True
 
     def remove(self, name: str, incarnation: int) -> bool:
-        """Forget a member's life, and any earlier one, for good."""
+        """Remove a member's incarnation and all earlier ones permanently.
+
+        Returns:
+            Whether the member was known in such an incarnation.
+        """
         if incarnation <= self.tombstones.get(name, 0):
             return False
         self._add_tombstone(name, incarnation)
@@ -51,10 +55,11 @@
         return True
 
     def _add_tombstone(self, name: str, incarnation: int) -> None:
-        """Remember a life that has ended; the oldest are forgotten.
+        """Remember a removed incarnation; drop the oldest tombstone if there are many.
 
-        Without a bound, names that never come back would fill the memory. An
-        announcement older than thousands of departures is not on its way any more.
+        Without a limit, names that never come back would fill the memory. Dropping is
+        safe, because no announcement is delayed for as long as thousands of removals
+        take.
         """
         self.tombstones.pop(name, None)
         self.tombstones[name] = incarnation
@@ -62,7 +67,7 @@
             del self.tombstones[next(iter(self.tombstones))]
 
     def is_alive(self, name: str, incarnation: int) -> bool:
-        """Whether this is the life known of that name."""
+        """Whether a member is known in exactly this incarnation."""
         known = self.known.get(name)
         return known is not None and known.incarnation == incarnation
 
@@ -76,12 +81,12 @@
         return sorted({member.datacentre for member in self.known.values()})
 
     def recent_removals(self) -> tuple[Gone, ...]:
-        """Return the lives that ended last, for a process that may have missed it."""
+        """Return the newest removals, for a process that may have missed them."""
         newest = list(self.tombstones.items())[-SENT_TOMBSTONES:]
         return tuple(Gone(name, incarnation) for name, incarnation in newest)
 
     def digest(self, datacentre: str) -> int:
-        """Return a digest of a data centre's members; equal if they are the same."""
+        """Return a digest of a data centre's members, to compare two processes."""
         total = 0
         for member in self.known.values():
             if member.datacentre == datacentre:
@@ -90,7 +95,7 @@
         return total & DIGEST_MASK
 
     def of_service(self, service: str) -> list[Announce]:
-        """Return the agents of a service, leaving ones too, by name."""
+        """Return the agents of a service sorted by name, including leaving ones."""
         agents = [m for m in self.known.values() if m.service == service]
         return sorted(agents, key=lambda member: member.name)
 
@@ -105,9 +110,9 @@
 
 
 def _is_current(known: Announce, member: Announce) -> bool:
-    """Whether what is known is at least as new as the announcement.
+    """Whether the known state is at least as new as the announcement.
 
-    Within one life only ``leaving`` changes, from false to true and never back.
+    Within one incarnation only ``leaving`` changes, from false to true and never back.
     """
     if known.incarnation != member.incarnation:
         return known.incarnation > member.incarnation
--- a/packages/cornelspan-control/src/cornelspan_control/plane.py
+++ b/packages/cornelspan-control/src/cornelspan_control/plane.py
@@ -1,4 +1,4 @@
-"""What one daemon holds of configuration and membership, and how it passes them on."""
+"""Configuration and membership state of one daemon, and how it is forwarded."""
 
 import ssl
 import time
@@ -35,7 +35,10 @@
 
 @dataclass
 class Subscriber:
-    """A process that hears from this one, and what it wants to hear."""
+    """A process that receives updates from this one, and which updates it wants.
+
+    ``relays`` are the relays of its data centre, which may be in other data centres.
+    """
 
     peer: Peer
     subscription: Subscribe
@@ -43,7 +46,7 @@
     relays: tuple[str, ...] = ()
 
     def wants(self, member: Announce) -> bool:
-        """Whether the subscriber wants to know of a member."""
+        """Whether the subscription covers a member."""
         if self.subscription.scope and member.datacentre != self.subscription.scope:
             return False
         if not self.subscription.service:
@@ -121,14 +124,17 @@
 
     @property
     def incarnation(self) -> int:
-        """The life that this daemon announces."""
+        """The incarnation that this daemon announces."""
         return self.announcement().incarnation
 
     def relays(self, datacentre: str = "") -> list[str]:
-        """Return the relays of a data centre, this one's by default, seen from here.
+        """Return the relays of a data centre as selected from this daemon's view.
+
+        The result is cached until members or silent relays change, because selection
+        iterates over all members and this method is called very often.
 
-        The ranking is kept until members or silent relays change, since it is asked
-        for at every turn and looks at each member.
+        Args:
+            datacentre: Name of the data centre; this daemon's own if empty.
         """
         state = (self.members.version, frozenset(self.silent_relays))
         if state != self.relays_state:
@@ -148,8 +154,8 @@
     def primary_datacentres(self) -> list[str]:
         """Return the data centres whose primary relay this daemon is.
 
-        The primary judges and writes to the store. One without balancers of its own
-        has a primary elsewhere.
+        The primary runs failure detection and writes the roster to the store. A data
+        centre without balancers has its primary relay in another data centre.
         """
         if self.announcement().role != "balancer":
             return []
@@ -162,13 +168,17 @@
         return self.epochs.get(self.datacentre, 0)
 
     def heartbeat(self) -> Heartbeat:
-        """Return what this daemon says of itself at each beat."""
+        """Return the heartbeat of this daemon."""
         return Heartbeat(
             self.name, self.incarnation, self.configuration.revision, self.epoch
         )
 
     def subscription(self, scope: str = "") -> Subscribe:
-        """Return what this daemon wants to hear from a relay."""
+        """Return the subscription that this daemon sends to a relay.
+
+        Args:
+            scope: Data centre to receive members of; all if empty.
+        """
         own = self.announcement()
         digests = () if own.service else self._digests()
         return Subscribe(
@@ -185,10 +195,10 @@
         return tuple((each, self.members.digest(each)) for each in centres)
 
     def put_in_force(self, newer: Snapshot | Delta) -> bool:
-        """Put a newer configuration in force and pass it on.
+        """Put a newer configuration in force and forward it to subscribers.
 
         Returns:
-            False if it is not newer, or leaves a gap.
+            False if it is not newer, or if revisions before it are missing.
         """
         before = self.configuration.revision
         if isinstance(newer, Delta):
@@ -212,7 +222,11 @@
         del self.deltas[:-MAX_KEPT_DELTAS]
 
     def _forward_configuration(self, before: int) -> None:
-        """Send subscribers the newest delta, or a beat that has them ask."""
+        """Send subscribers the newest delta, or a heartbeat.
+
+        If the delta doesn't cover the revision in force before, the heartbeat shows
+        subscribers the newer revision and they request what they lack.
+        """
         newest = self.deltas[-1] if self.deltas else None
         if newest is None or newest.base > before:
             self.broadcast(self.heartbeat())
@@ -235,7 +249,7 @@
         """Put a received configuration in force.
 
         Returns:
-            False if it leaves a gap, so that the sender has to be asked for the whole.
+            False if revisions before it are missing and have to be requested.
         """
         if revision.revision <= self.configuration.revision:
             return True
@@ -245,7 +259,7 @@
         return newer is None or self.put_in_force(newer)
 
     def updates_since(self, revision: int) -> list[Revision]:
-        """Return what brings a process from a revision to the one in force here."""
+        """Return the deltas that follow a revision, or a snapshot if none do."""
         if revision >= self.configuration.revision:
             return []
         for number, delta in enumerate(self.deltas):
@@ -254,11 +268,11 @@
         return [encode(self.configuration.snapshot())]
 
     def apply_membership(self, update: Membership) -> None:
-        """Take in members that came or went, and pass on what was new.
+        """Apply announcements and removals, and forward those that were new.
 
-        News of a departure under an older epoch than known comes from a relay that was
-        paused or cut off: its judgement is of a time that has passed, and would take
-        living members away. Announcements are safe, since incarnations order them.
+        Removals under an epoch older than the newest one known are ignored. They come
+        from a relay that was paused or cut off and may name members that are alive.
+        Announcements are always applied, since incarnations order them.
         """
         known = self.epochs.get(update.datacentre, 0)
         removals = update.gone
@@ -272,18 +286,22 @@
             self.publish(update.datacentre, joined, removed)
 
     def announce(self, member: Announce) -> None:
-        """Take in what a member says of itself, and pass it on if it is new."""
+        """Record a member's own announcement and forward it if it is new."""
         self.last_heard[member.name] = time.monotonic()
         if self._announce(member):
             self.publish(member.datacentre, (member,), ())
 
     def remove(self, gone: Gone, datacentre: str) -> None:
-        """Take a member's life for ended, and pass it on if it is new."""
+        """Remove a member's incarnation and forward the removal if it is new."""
         if self._remove(gone):
             self.publish(datacentre, (), (gone,))
 
     def _announce(self, member: Announce) -> bool:
-        """Take in an announcement; one of another life of ours is outdone by ours."""
+        """Record an announcement; return whether it was new.
+
+        If it is of a newer incarnation of this daemon than the present one, this daemon
+        starts an incarnation after it.
+        """
         if member.name == self.name and member.incarnation > self.incarnation:
             self._begin_incarnation(member.incarnation + 1)
             return False
@@ -294,10 +312,16 @@
         return True
 
     def _remove(self, gone: Gone) -> bool:
-        """Forget a life. Ours, if we live, begins a new one that all will believe."""
+        """Remove an incarnation; return whether it was known.
+
+        If it is the one of this daemon, others have removed it while it is alive. It
+        then starts a new incarnation, which all members accept.
+        """
         if gone.name == self.name and gone.incarnation >= self.incarnation:
             self.false_removals += 1
-            log.warning("taken for dead", extra={"incarnation": gone.incarnation})
+            log.warning(
+                "declared dead while alive", extra={"incarnation": gone.incarnation}
+            )
             self.members.remove(gone.name, gone.incarnation)
             self._begin_incarnation(gone.incarnation + 1)
             return False
@@ -305,17 +329,17 @@
             return False
         self.last_heard.pop(gone.name, None)
         self.last_heartbeats.pop(gone.name, None)
-        log.info("member gone", extra={"member": gone.name})
+        log.info("member removed", extra={"member": gone.name})
         return True
 
     def _begin_incarnation(self, incarnation: int) -> None:
-        """Go on under a new incarnation, which outdoes what is said of the old one."""
+        """Continue under a new incarnation, which supersedes all older ones."""
         self.on_new_incarnation(incarnation)
         self.hello = msgspec.structs.replace(self.hello, incarnation=incarnation)
         self.announce_self()
 
     def announce_self(self) -> None:
-        """Make this daemon's own announcement known to relays and subscribers."""
+        """Send this daemon's own announcement to relays and subscribers."""
         own = self.announcement()
         self.send_to_relays(own)
         if self.members.announce(own):
@@ -324,7 +348,7 @@
     def publish(
         self, datacentre: str, joined: tuple[Announce, ...], removed: tuple[Gone, ...]
     ) -> None:
-        """Send news of members to the subscribers that want them."""
+        """Send announcements and removals to the subscribers that they concern."""
         epoch = self.epochs.get(datacentre, 0)
         for subscriber in self.subscribers.values():
             wanted = tuple(m for m in joined if subscriber.wants(m))
--- a/packages/cornelspan-control/src/cornelspan_control/profiles.py
+++ b/packages/cornelspan-control/src/cornelspan_control/profiles.py
@@ -1,8 +1,7 @@
-"""Profiles and services: what an operator edits, as checked structures.
+"""Profiles and services: the objects that operators edit, checked when decoded.
 
-A profile says how a kind of traffic is treated; a service has an address and names the
-profile that it runs under. Backend servers appear in neither, since they announce
-themselves.
+A profile defines how a kind of traffic is treated; a service has an address and the
+name of its profile. Backend servers appear in neither, since they announce themselves.
 """
 
 from typing import Annotated, Literal
@@ -18,9 +17,9 @@
 class RequestPolicy(Checked, frozen=True, kw_only=True):
     """Limits of the requests of an ``http`` profile.
 
-    ``deadline_seconds`` holds where a caller names no deadline; a caller can shorten
-    it, never extend it. ``caller_share`` bounds the part of a queue that one caller
-    may fill. ``claim_seconds`` is how long the run of an idempotency key is remembered.
+    ``deadline_seconds`` applies if a caller sets no deadline; a caller can shorten it,
+    never extend it. ``caller_share`` limits the share of a queue that one caller may
+    fill. ``claim_seconds`` is how long the run of an idempotency key is remembered.
     """
 
     queue: Annotated[int, Meta(ge=0, le=100_000)] = 64
@@ -32,7 +31,7 @@
 
 
 class RetryPolicy(Checked, frozen=True, kw_only=True):
-    """Retries of requests that surely did not run or are idempotent.
+    """Retries of requests that are known not to have run or are idempotent.
 
     ``budget_share`` is the share of requests that may be retries over 10 s.
     """
@@ -44,7 +43,7 @@
 
 
 class Objective(Checked, frozen=True, kw_only=True):
-    """Service-level objective: the share of requests to be good over a window.
+    """Service-level objective: the share of good requests required over a window.
 
     A request is good when it succeeds within ``latency_seconds``.
     """
@@ -55,10 +54,10 @@
 
 
 class Profile(Checked, frozen=True, kw_only=True):
-    """A named way to treat traffic.
+    """A named set of rules for a kind of traffic.
 
-    ``priority`` 0 is served first, 9 shed first. ``drain_seconds`` bounds how long a
-    leaving endpoint waits for its flows.
+    ``priority`` 0 is served first, 9 is shed first. ``drain_seconds`` limits how long a
+    leaving endpoint waits for its flows to end.
     """
 
     name: Name
@@ -76,8 +75,8 @@
 class Service(Checked, frozen=True, kw_only=True):
     """A service: the address that callers use, and its profile's name.
 
-    The address of a service never changes, or a running flow's packets would reach
-    another service; a service with a new address is a new service.
+    The address of a service can't be changed, because packets of running flows would
+    reach another service; a new address needs a new service.
     """
 
     name: Name
--- a/packages/cornelspan-control/src/cornelspan_control/ranking.py
+++ b/packages/cornelspan-control/src/cornelspan_control/ranking.py
@@ -1,9 +1,8 @@
-"""Ranks the endpoints of a service for a flow: who is home, and who is asked next.
+"""Ranks the endpoints of a service for a flow: its home first, then the alternatives.
 
-Balancers and agents rank alike, so the rank depends on the flow and on the membership
-alone, never on the place of the one who ranks: two that know the same members name the
-same home. Only configured weights count. Weights that follow load would move homes
-under running flows.
+The ranking depends only on the flow and the members, so balancers and agents that know
+the same members find the same home. Only configured weights are used: weights that
+follow the load would change the home of running flows.
 
     ranking = Ranking(members)
     ranking.candidates("order-hub", flow).names[0]
@@ -37,7 +36,7 @@
         self.candidates_by_names: dict[tuple[str, ...], Candidates] = {}
 
     def candidates(self, flow: int) -> Candidates:
-        """Return the flow's candidates, ranked at its first packet and then kept."""
+        """Return the flow's candidates, ranked on the first call and then cached."""
         found = self.candidates_by_flow.get(flow)
         if found is not None:
             return found
@@ -49,7 +48,7 @@
         return found
 
     def _interned(self, names: tuple[str, ...]) -> Candidates:
-        """Return the one object for an order; flows of the same order share it."""
+        """Return the candidates for a list of names, shared between flows."""
         found = self.candidates_by_names.get(names)
         if found is None:
             if len(self.candidates_by_names) >= MAX_CACHED_RANKINGS:
@@ -60,11 +59,12 @@
 
 
 class Ranking:
-    """The groups of all services, worked out once a version of the membership.
+    """Endpoint groups of all services, rebuilt when the membership changes.
 
-    A group of up to ``MAX_CANDIDATES`` endpoints is its own whole list, so that an owner
-    is found even when the home's directory died with it. Leaving endpoints stay in
-    the list for the flows they have; their own agents refuse new ones.
+    If a service has up to ``MAX_CANDIDATES`` endpoints, all are candidates of each
+    flow. The owner of a flow is then found even if the home died and its directory was
+    lost. Leaving endpoints stay candidates for the flows they have; their agents refuse
+    new flows.
     """
 
     def __init__(self, members: Members) -> None:
@@ -73,7 +73,7 @@
         self.groups: dict[str, EndpointGroup] = {}
 
     def candidates(self, service: str, flow: int) -> Candidates:
-        """Return the candidates of a flow of a service; none if nobody serves it."""
+        """Return the candidates of a flow; none if the service has no endpoints."""
         if self.version != self.members.version:
             self.groups.clear()
             self.version = self.members.version
--- a/packages/cornelspan-control/src/cornelspan_control/records.py
+++ b/packages/cornelspan-control/src/cornelspan_control/records.py
@@ -1,13 +1,13 @@
-"""How the configuration lies in the store.
+"""Layout of the configuration in the store.
 
     configuration/head                    the accepted revision; changed last
     configuration/index/ID                all that is in force, by name
     configuration/profiles/NAME/ID        one version of a profile
     configuration/services/NAME/ID        one version of a service
 
-All but the head are written once and never changed, under the id of the change that
-made them. So a reader of the head sees one whole configuration, however late it reads
-the rest, and a change that was not accepted leaves nothing behind that counts.
+All objects but the head are immutable and named by the id of the change that created
+them. So a reader of the head always gets one consistent configuration, even if it reads
+the other objects later, and objects of a change that was not accepted have no effect.
 """
 
 from typing import Literal
@@ -36,10 +36,10 @@
 
 
 class AcceptedChange(Checked, frozen=True, kw_only=True):
-    """One accepted change: what it made, who asked for it, and when.
+    """One accepted change.
 
-    ``change`` is the id of the change and of the version that it made. ``at`` is in
-    seconds since the epoch, by the clock of the operator's machine.
+    ``change`` is the id of the change and of the version that it created. ``at`` is in
+    seconds since the epoch, by the clock of the operator's computer.
     """
 
     revision: int
@@ -59,14 +59,14 @@
     recent: tuple[AcceptedChange, ...] = ()
 
     def find(self, change: str) -> AcceptedChange | None:
-        """Return a change if it is among the newest ones accepted."""
+        """Return the accepted change with this id, if the head still lists it."""
         for accepted in self.recent:
             if accepted.change == change:
                 return accepted
         return None
 
     def changes_since(self, revision: int) -> tuple[AcceptedChange, ...] | None:
-        """Return the changes after a revision; None if they reach back too far."""
+        """Return the changes after a revision; None if not all are still listed."""
         oldest = self.recent[0].revision if self.recent else self.revision + 1
         if revision < oldest - 1:
             return None
@@ -88,11 +88,12 @@
 
 
 class Index(Checked, frozen=True, kw_only=True):
-    """All that is in force, whole, by name.
+    """All profiles and services in force, by name.
 
-    It repeats the content of the versions that it names. A daemon that starts with no
-    peers then needs two reads and not a thousand, which its call budget would spread
-    over minutes. The store's limit of a megabyte a value bounds the configuration.
+    It contains the values as well as the version ids. A daemon that starts without
+    peers then needs two reads instead of a thousand, for which its call budget would
+    take minutes. The store's limit of a megabyte per value limits the size of the
+    configuration.
     """
 
     profiles: dict[str, ProfileEntry] = {}
@@ -134,13 +135,18 @@
 
     Args:
         client: The store.
-        floor: Object version known to exist; an older answer is stale, and an error.
+        min_version: Object version known to exist; an older one is a stale read and
+            returned as an error.
     """
     match await client.get(HEAD_NAME):
         case Err(ObjectMissing()) if min_version == NO_VERSION:
             return Ok((Head(), NO_VERSION))
         case Err(ObjectMissing()):
-            return Err(StoreUnavailable("the store has lost the head or is stale"))
+            return Err(
+                StoreUnavailable(
+                    "the head is missing: lost by the store, or a stale read"
+                )
+            )
         case Err(error):
             return Err(error)
         case Ok(found):
@@ -170,4 +176,4 @@
     try:
         return Ok(msgspec.json.decode(value, type=kind))
     except msgspec.DecodeError as error:
-        return Err(StoreUnavailable(f"an object that is none of ours: {error}"))
+        return Err(StoreUnavailable(f"invalid configuration object: {error}"))
--- a/packages/cornelspan-control/src/cornelspan_control/relay_links.py
+++ b/packages/cornelspan-control/src/cornelspan_control/relay_links.py
@@ -1,4 +1,4 @@
-"""The member's side: streams to its relays, announcing, and beating."""
+"""Streams from a member to its relays: subscription, announcements, heartbeats."""
 
 import asyncio
 import time
@@ -24,7 +24,13 @@
 
 
 class RelayLinks:
-    """The relays that one daemon follows, and when it last heard from each."""
+    """Streams to the relays that one daemon follows.
+
+    Attributes:
+        scopes: Data centre that each followed relay is subscribed to for; "" is all.
+        last_heard: Monotonic time of the last message from each followed relay.
+        last_exchange: Monotonic time at which a seed last accepted a stream.
+    """
 
     def __init__(self, plane: Plane, detector: FailureDetector) -> None:
         self.plane = plane
@@ -46,7 +52,7 @@
         return bool(self.links.open)
 
     async def follow(self, peer: Peer) -> None:
-        """Announce to one relay, subscribe, and take what it sends."""
+        """Subscribe to one relay and handle its messages until the stream ends."""
         self.subscribe(peer)
         async for batch in batches(peer):
             self.last_heard[peer.name] = time.monotonic()
@@ -54,7 +60,7 @@
                 handle_message(self.plane, self.detector, peer, message)
 
     def subscribe(self, peer: Peer) -> None:
-        """Say who we are and what we want to hear."""
+        """Send this daemon's announcement, subscription and heartbeat."""
         plane = self.plane
         self.last_heard[peer.name] = time.monotonic()
         plane.silent_relays.pop(peer.name, None)
@@ -63,13 +69,13 @@
         peer.send(plane.heartbeat())
 
     def send(self, message: Message) -> None:
-        """Send a message to the relays that are followed."""
+        """Send a message to all relays with an open stream."""
         self.links.hello = self.plane.hello
         for peer in self.links.open.values():
             peer.send(message)
 
     async def run(self) -> None:
-        """Follow the relays of the moment and beat to them, as long as we run."""
+        """Follow the current relays and send them heartbeats until cancelled."""
         control = self.plane.settings.control
         random = self.plane.store.random
         interval = min(control.heartbeat_seconds, control.lost_seconds)
@@ -88,7 +94,7 @@
             await asyncio.sleep(interval)
 
     def update_links(self) -> None:
-        """Want streams to the relays as elected from here, and to no others."""
+        """Open streams to the relays selected now and close all others."""
         now = time.monotonic()
         self._mark_silent(now)
         wanted = self._wanted_relays()
@@ -103,7 +109,7 @@
         self.links.keep_only(set(wanted))
 
     def _update_scope(self, name: str, scope: str) -> None:
-        """Subscribe anew where an open stream has to carry something else."""
+        """Set the scope of a relay; subscribe again if its open stream has another."""
         before = self.scopes.get(name)
         self.scopes[name] = scope
         peer = self.links.get(name)
@@ -111,10 +117,10 @@
             peer.send(self.plane.subscription(scope))
 
     def _wanted_relays(self) -> dict[str, str]:
-        """Return the relays to follow, each with the data centre it is heard for.
+        """Return the relays to follow, each with the scope of the subscription.
 
-        Relays also follow those of the other data centres; one that is followed for
-        everything already needs no narrower subscription.
+        A daemon follows the relays of its own data centre for all members. Relays also
+        follow the relays of the other data centres, for the members there.
         """
         plane = self.plane
         wanted = dict.fromkeys(plane.relays(), "")
@@ -126,17 +132,17 @@
         return wanted
 
     def _reset_timeouts(self) -> None:
-        """Give every relay its whole time again after a pause of this process.
+        """Restart the timeout of every relay after a pause of this process.
 
-        What they said meanwhile waits in the streams unread; without this the pause
-        would be taken for their silence, and all relays dropped for a minute.
+        Messages that arrived during the pause are still unread. Without the restart all
+        relays would be considered silent and dropped for a minute.
         """
         now = time.monotonic()
         for name in self.last_heard:
             self.last_heard[name] = now
 
     def _mark_silent(self, now: float) -> None:
-        """Note relays that say nothing, and try them again after a while."""
+        """Mark relays that have timed out, and unmark them after a while to retry."""
         silent = self.plane.silent_relays
         for name, last_heard in self.last_heard.items():
             if now - last_heard > self._silence_timeout(name) and name not in silent:
@@ -153,10 +159,10 @@
         return 2 * settings.streams.connect_seconds + settings.control.lost_seconds
 
     async def contact_seeds(self) -> None:
-        """Ask seeds who is there, as long as no relay is followed.
+        """Fetch members from the seeds while no stream to a relay is open.
 
-        A balancer that believes it is alone asks again now and then, or two that
-        started apart would never learn of each other.
+        A balancer that knows no other one is its own relay. It contacts the seeds again
+        periodically, otherwise two that started apart would never find each other.
         """
         plane = self.plane
         interval = plane.settings.streams.reconnect_seconds
@@ -184,7 +190,7 @@
                         await self._exchange(peer)
                         return
                     case Err(error):
-                        log.debug("no seed", extra={"why": str(error)})
+                        log.debug("seed not reachable", extra={"why": str(error)})
 
     async def _exchange(self, peer: Peer) -> None:
         plane = self.plane
@@ -197,4 +203,4 @@
                     if any(isinstance(message, Heartbeat) for message in batch):
                         return
         except TimeoutError:
-            log.info("seed gave no members", extra={"seed": peer.name})
+            log.info("seed did not answer in time", extra={"seed": peer.name})
--- a/packages/cornelspan-control/src/cornelspan_control/relay_selection.py
+++ b/packages/cornelspan-control/src/cornelspan_control/relay_selection.py
@@ -1,8 +1,8 @@
-"""Which balancers are the relays of a data centre.
+"""Selects the balancers that are the relays of a data centre.
 
-Nobody votes: each process ranks the live balancers that it knows by rendezvous
-hashing, and the first two are the relays. Views that differ for a while give a third
-relay or a missing one for that while, which costs store calls and loses nothing.
+There is no vote. Each process ranks the live balancers that it knows by rendezvous
+hashing, and the first two are the relays. While processes know different members there
+may be one relay more or less; that costs additional store calls but loses no data.
 """
 
 from collections.abc import Container
@@ -19,13 +19,13 @@
 ) -> list[str]:
     """Return the relays of a data centre, the primary first.
 
-    A data centre with fewer balancers than relays gets the rest from others, so that
-    its agents are heard by two.
+    A data centre with too few balancers of its own gets relays from other data centres,
+    so that its agents still have two.
 
     Args:
         members: The members known here.
-        datacentre: Whose relays.
-        without: Names that can't be reached from here.
+        datacentre: Data centre to select relays for.
+        excluding: Names of balancers that can't be reached from here.
     """
     live = [
         member
--- a/packages/cornelspan-control/src/cornelspan_control/reports.py
+++ b/packages/cornelspan-control/src/cornelspan_control/reports.py
@@ -1,7 +1,7 @@
-"""The service-level report: burn of each service over all data centres.
+"""The service-level report: burn rates of each service over all data centres.
 
-Built from the summaries that relays keep in the store, so that it needs no daemon to be
-alive; what is too old or silent is named in ``missing``.
+It is built from the summaries that relays keep in the store, so it needs no running
+daemon. ``missing`` lists data that is too old or absent.
 """
 
 from dataclasses import dataclass
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceReport:
-    """One service: its burn, latencies in milliseconds and where it was counted."""
+    """One service: burn rates, latency percentiles and data centres with counts."""
 
     burn: Burn
     profile: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """All services at one minute, and what could not be seen."""
+    """All services at one minute, and which data is missing."""
 
     minute: int
     services: tuple[ServiceReport, ...]
@@ -51,7 +51,7 @@
 
     @property
     def alerts(self) -> tuple[tuple[str, str], ...]:
-        """Services and names of their alerts."""
+        """Pairs of service and alert name, of all firing alerts."""
         return tuple(
             (each.burn.service, alert)
             for each in self.services
@@ -60,11 +60,11 @@
 
 
 def build_report(summaries: list[Summary], snapshot: Snapshot, *, now: int) -> Report:
-    """Work out the report.
+    """Build the report.
 
     Args:
-        summaries: One of each data centre that could be read.
-        snapshot: The configuration in force, for objectives.
+        summaries: One of each data centre.
+        snapshot: The configuration in force, which has the objectives.
         now: The current minute.
     """
     profiles = {profile.name: profile for profile in snapshot.profiles}
@@ -107,7 +107,7 @@
 def _missing(
     summaries: list[Summary], configured: dict[str, str], now: int
 ) -> tuple[str, ...]:
-    """Name what the report can't see, most important first."""
+    """Describe the missing data by data centre, then services without counts."""
     lines = []
     for summary in summaries:
         age = now - summary.minute
--- a/packages/cornelspan-control/src/cornelspan_control/revisions.py
+++ b/packages/cornelspan-control/src/cornelspan_control/revisions.py
@@ -1,4 +1,4 @@
-"""Configurations as they pass between processes, encoded once for all receivers."""
+"""Encodes configurations into messages, once for all receivers, and decodes them."""
 
 import msgspec
 
@@ -21,14 +21,14 @@
 
 
 def decode(revision: Revision) -> Snapshot | Delta | None:
-    """Return what a message carries; None, with a warning, if it is none of ours.
+    """Return the snapshot or delta in a message; log and return None if invalid.
 
-    A newer version of the program may send fields that this one doesn't know. What is
-    in force then stays, and ``status`` shows the revision that it stopped at.
+    A newer version of the program may send fields that this one doesn't know. The
+    configuration in force then stays, and ``status`` shows its older revision.
     """
     decoder = snapshot_decoder if revision.whole else delta_decoder
     try:
         return decoder.decode(revision.body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        log.warning("configuration refused", extra={"why": str(error)})
+        log.warning("invalid configuration ignored", extra={"why": str(error)})
         return None
--- a/packages/cornelspan-control/src/cornelspan_control/roster.py
+++ b/packages/cornelspan-control/src/cornelspan_control/roster.py
@@ -1,8 +1,9 @@
-"""The members of a data centre as kept in the store: one object, written on change.
+"""The roster: the members of a data centre as one object in the store.
 
-Processes that know no living seed start from it, and so do relays that came up apart
-from each other. The primary relay writes it, under the condition that it is the version
-that this relay knows: one that was paused meanwhile fails, reads, and learns.
+It serves processes whose seeds don't answer, and relays that started without knowing of
+each other. The primary relay writes it when members change, by a conditional update of
+the version that it knows. A relay that was paused while another one wrote fails to
+update, and reads the newer roster.
 """
 
 import asyncio
@@ -30,7 +31,7 @@
 
 
 class Roster(Checked, frozen=True, kw_only=True):
-    """The members of one data centre, who wrote them, and under which epoch."""
+    """The members of one data centre, the relay that wrote them, and its epoch."""
 
     epoch: int
     writer: str
@@ -38,10 +39,13 @@
 
 
 class RosterPublisher:
-    """What this relay knows of the objects that it writes, by data centre.
+    """Writes the rosters of the data centres whose primary relay this daemon is.
 
-    ``writes`` counts the writes that took effect, ``conflicts`` those that another
-    relay's write had overtaken.
+    Attributes:
+        versions: Last known object version of each roster.
+        written: Epoch and member digest in each roster as last written.
+        writes: Writes that took effect.
+        conflicts: Writes that failed because the roster had been written since.
     """
 
     def __init__(self, plane: Plane) -> None:
@@ -52,12 +56,12 @@
         self.conflicts = 0
 
     def _state(self, datacentre: str) -> tuple[int, int]:
-        """Return what tells whether an object has to be written."""
+        """Return epoch and member digest; a roster is written when they change."""
         plane = self.plane
         return plane.epochs.get(datacentre, 0), plane.members.digest(datacentre)
 
     async def run(self) -> None:
-        """Write each object that has changed while this daemon is its primary."""
+        """Write each roster that has changed, periodically until cancelled."""
         control = self.plane.settings.control
         while True:
             jitter = self.plane.store.random.uniform(0.5, 1.5)
@@ -68,9 +72,9 @@
 
     async def _write(self, datacentre: str) -> None:
         plane = self.plane
-        _state = self._state(datacentre)
+        state = self._state(datacentre)
         roster = Roster(
-            epoch=_state[0],
+            epoch=state[0],
             writer=plane.name,
             members=tuple(plane.members.of_datacentre(datacentre)),
         )
@@ -80,16 +84,16 @@
         match put:
             case Ok(written):
                 self.versions[datacentre] = written
-                self.written[datacentre] = _state
+                self.written[datacentre] = state
                 self.writes += 1
             case Err(VersionConflict()):
                 self.conflicts += 1
                 await self._reload(datacentre)
             case Err(error):
-                log.info("members not written", extra={"why": str(error)})
+                log.info("roster not written", extra={"why": str(error)})
 
     async def _reload(self, datacentre: str) -> None:
-        """Read what another relay wrote, or this one with an answer that was lost."""
+        """Read a roster written by another relay, or by this one in a lost response."""
         match await self.plane.store.get(ROSTER_PREFIX + datacentre):
             case Ok(found):
                 self.versions[datacentre] = found.version
@@ -97,14 +101,15 @@
             case Err(ObjectMissing()):
                 self.versions[datacentre] = NO_VERSION
             case Err(error):
-                log.info("members not read", extra={"why": str(error)})
+                log.info("roster not read", extra={"why": str(error)})
 
 
 async def read_rosters(plane: Plane) -> None:
-    """Learn of the other data centres now and then, while this daemon is a relay.
+    """Read the rosters of all data centres periodically, while this daemon is a relay.
 
-    A process that has met nobody reads them too. It waits a moment first: a seed tells
-    the same without a call, and a restart of a whole site would bring two from each.
+    A process that knows no other member reads them too, after a delay. Usually a seed
+    has sent the members by then, which saves the calls when all daemons of a site
+    restart together.
     """
     interval = INITIAL_READ_SECONDS
     while True:
@@ -122,22 +127,25 @@
         case Ok(listing):
             names = [name for name, _ in listing.objects]
         case Err(error):
-            log.info("members not listed", extra={"why": str(error)})
+            log.info("rosters not listed", extra={"why": str(error)})
             return
     for name in names:
         match await plane.store.get(name):
             case Ok(found):
                 apply_roster(plane, name.removeprefix(ROSTER_PREFIX), found.value)
             case Err(error):
-                log.info("members not read", extra={"why": str(error)})
+                log.info("roster not read", extra={"why": str(error)})
 
 
 def apply_roster(plane: Plane, datacentre: str, value: bytes) -> None:
-    """Take in the members of an object; who died since is found out by its relays."""
+    """Apply the announcements in a roster.
+
+    Members that have died since it was written are removed by their relays later.
+    """
     try:
         roster = msgspec.json.decode(value, type=Roster)
     except msgspec.DecodeError as error:
-        log.warning("members refused", extra={"why": str(error)})
+        log.warning("invalid roster ignored", extra={"why": str(error)})
         return
     own = plane.announcement().service
     members = tuple(m for m in roster.members if not own or _is_relevant(plane, m))
@@ -145,7 +153,7 @@
 
 
 def _is_relevant(plane: Plane, member: Announce) -> bool:
-    """Whether an agent needs to know of a member."""
+    """Whether an agent needs to know a member: balancers nearby and its service."""
     if member.role == "balancer":
         return member.datacentre == plane.datacentre
     return member.service == plane.announcement().service
--- a/packages/cornelspan-control/src/cornelspan_control/status.py
+++ b/packages/cornelspan-control/src/cornelspan_control/status.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of its data centre, for operators."""
+"""The status of a daemon and its data centre, for operators."""
 
 import time
 
@@ -11,7 +11,10 @@
 
 
 def status_of(plane: Plane) -> Status:
-    """Return the status of a daemon and of the members that it hears from."""
+    """Return the status of a daemon and the members of its data centres.
+
+    These are its own data centre and those whose primary relay it is.
+    """
     now = time.monotonic()
     centres = sorted({plane.datacentre, *plane.primary_datacentres()})
     members = [m for each in centres for m in plane.members.of_datacentre(each)]
--- a/packages/cornelspan-control/src/cornelspan_control/store.py
+++ b/packages/cornelspan-control/src/cornelspan_control/store.py
@@ -1,8 +1,8 @@
 """Client of the platform's object store.
 
-Each call returns a ``Result`` with a typed error. A write has a third outcome beside
-done and refused: ``OutcomeUnknown``, when the answer was lost after the request may
-have reached the store. Its caller reads back to settle what happened.
+Each call returns a ``Result`` with a typed error. Beside success and failure a write
+can end with ``OutcomeUnknown``: the response was lost and the store may have executed
+the request. The caller then has to read the object to find out.
 
     client = StoreClient(settings.store)
     match await client.put("configuration/head", value, expected=17):
@@ -53,16 +53,20 @@
 
 
 class WatchResult(msgspec.Struct, frozen=True):
-    """What a watch saw: names that changed, up to the store's version."""
+    """Names that changed during a watch, and the store's version at its end."""
 
     version: int
     changed: tuple[str, ...]
 
 
 class StoreClient:
-    """Calls to the store within one daemon's budget.
+    """Client of the store, limited to one daemon's rate of calls.
 
-    ``reads``, ``writes`` and ``failures`` count calls since the start.
+    Attributes:
+        reads: Read calls since the start.
+        writes: Write calls since the start.
+        lost_answers: Calls that were sent but got no response.
+        received_bytes: Size of all bodies read.
     """
 
     def __init__(
@@ -90,15 +94,15 @@
 
     @property
     def failures(self) -> int:
-        """Calls that found no store or whose answer was lost."""
+        """Calls that did not reach the store or got no response."""
         return self.lost_answers + self.caller.unreached
 
     def close(self) -> None:
-        """End all calls."""
+        """Cancel all running calls."""
         self.caller.close()
 
     async def get(self, name: str) -> Result[StoredObject, ReadError]:
-        """Read an object. The store may answer with an older value."""
+        """Read an object. The read may be stale and return an older value."""
         match await self._read(self._object_path(name), name):
             case Ok(response):
                 return _stored_object(response, name)
@@ -113,12 +117,12 @@
     async def watch(
         self, prefix: str, *, after: int, seconds: float
     ) -> Result[WatchResult, ReadError]:
-        """Wait until something under a prefix changes, or the time is up.
+        """Wait until an object under a prefix changes or the time has elapsed.
 
         Args:
             prefix: Which objects to watch.
             after: The store's version of the last ``WatchResult`` or ``Listing``.
-            seconds: How long the store holds the call.
+            seconds: How long to wait for a change.
         """
         query = {"prefix": prefix, "after": after, "seconds": seconds}
         path = "/watch?" + urlencode(query)
@@ -131,10 +135,10 @@
         """Write an object.
 
         Args:
-            name: The object.
+            name: Name of the object.
             value: Its new value, up to a megabyte.
-            expected: Version that it must have; 0 that there be none; None writes
-                whatever it has.
+            expected: Version that the object must have; 0 if it must not exist; None
+                writes unconditionally.
 
         Returns:
             The new version.
@@ -202,17 +206,19 @@
         case 200:
             version = _reply_version(response)
             if version is None:
-                # The write was taken, but as which version nobody can tell; reading
-                # back settles it as it does a lost answer.
-                return Err(OutcomeUnknown(name, "its answer names no version"))
+                # The write took effect but its version is unknown. The caller reads
+                # the object, as it does after a lost response.
+                return Err(OutcomeUnknown(name, "the response contains no version"))
             return Ok(version)
         case 412:
-            # An unknown version is told as none: whoever got the conflict reads anew.
+            # Without a version in the response, report none: callers read the object
+            # again after a conflict.
             return Err(VersionConflict(name, _reply_version(response) or NO_VERSION))
         case 413 | 429:
             return Err(_call_refused(response))
         case code:
-            # A gateway's error says nothing of what the store behind it did.
+            # The error may come from a gateway, and the store behind it may have
+            # executed the write.
             return Err(OutcomeUnknown(name, f"the store answered {code}"))
 
 
@@ -231,7 +237,7 @@
 
 
 class WriteReply(msgspec.Struct, frozen=True):
-    """Body of the store's answer to a write."""
+    """Body of the store's response to a write."""
 
     version: int
 
@@ -243,20 +249,21 @@
 def _stored_object(
     response: HTTPResponse, name: str
 ) -> Result[StoredObject, StoreUnavailable]:
-    """Return the object that was read, unless its version makes no sense."""
+    """Return the object that was read; an error if its version is no number."""
     version = response.headers.get("Etag", "").strip('"')
     if not version.isdecimal():
-        return Err(StoreUnavailable(f"{name} came with version {version!r}"))
+        return Err(StoreUnavailable(f"{name} has invalid version {version!r}"))
     return Ok(StoredObject(name, int(version), response.body))
 
 
 def _decode_json(body: bytes, kind: type) -> Result:
-    """Decode an answer; whatever a proxy may answer in the store's place is an error.
+    """Decode a response body.
 
-    Raised instead, it would end the task that reads, and with it the daemon's hearing
-    of any further change.
+    A proxy may respond in the store's place with any content. That is returned as an
+    error: an exception would end the task that watches the store, and the daemon would
+    miss all further changes.
     """
     try:
         return Ok(msgspec.json.decode(body, type=kind))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return Err(StoreUnavailable(f"an answer that is not the store's: {error}"))
+        return Err(StoreUnavailable(f"invalid response from the store: {error}"))
--- a/packages/cornelspan-control/src/cornelspan_control/store_watch.py
+++ b/packages/cornelspan-control/src/cornelspan_control/store_watch.py
@@ -1,4 +1,7 @@
-"""How accepted changes come from the store: relays watch it, others only in need."""
+"""Reads accepted changes from the store.
+
+Relays watch the store; other daemons poll it only while they have no relay.
+"""
 
 import asyncio
 import time
@@ -22,10 +25,10 @@
 
 
 async def watch_store(plane: Plane) -> None:
-    """Watch the head while this daemon is a relay, and put in force what is new.
+    """Watch the head while this daemon is a relay, and put newer revisions in force.
 
-    The head is read after each watch, also one that saw nothing: a watch may miss an
-    event, and then the change is in force when the next watch ends at the latest.
+    The head is read after each watch, even if the watch reported no change: a watch may
+    miss an event, and the change is then found when the next watch ends.
     """
     after = 0
     failures = 0
@@ -46,12 +49,12 @@
                     await _refresh_after_event(plane)
             case Err(error):
                 failures += 1
-                log.info("watch failed", extra={"why": str(error)})
+                log.info("store watch failed", extra={"why": str(error)})
                 await asyncio.sleep(_backoff(plane, failures))
 
 
 async def _refresh_after_event(plane: Plane) -> None:
-    """Read until the change that the event told of shows, past stale reads."""
+    """Read until the reported change is visible; the first reads may be stale."""
     before = plane.configuration.revision
     for _ in range(STALE_READ_ATTEMPTS):
         await refresh(plane)
@@ -61,10 +64,10 @@
 
 
 async def refresh(plane: Plane) -> bool:
-    """Read the store once and put in force what is newer.
+    """Read the store once and put a newer configuration in force.
 
     Returns:
-        Whether the store answered.
+        Whether the read succeeded.
     """
     match await read_newer(plane.store, plane.configuration.revision):
         case Ok(newer):
@@ -73,19 +76,23 @@
                 plane.put_in_force(newer)
             return True
         case Err(error):
-            log.info("store not read", extra={"why": str(error)})
+            log.info("store read failed", extra={"why": str(error)})
             return False
 
 
 async def poll_without_relays(plane: Plane, connected: Callable[[], bool]) -> None:
-    """Read the store now and then while no relay can be reached.
+    """Poll the store while no stream to a relay is open.
+
+    All daemons of a data centre may lose their relays at the same time. The jitter
+    before each poll keeps them from calling the store at once.
 
-    All daemons of a data centre may lose their relays at one moment. Each waits for a
-    random part of the period first, so that they don't come to the store together.
+    Args:
+        plane: State of the daemon.
+        connected: Returns whether a stream to a relay is open.
     """
     control = plane.settings.control
     while True:
-        # Who has nothing in force serves nobody, so it doesn't wait the whole period.
+        # Without a configuration the daemon serves no traffic, so it polls sooner.
         unconfigured = plane.configuration.revision == 0
         period = INITIAL_POLL_SECONDS if unconfigured else control.fallback_seconds
         period = min(period, control.fallback_seconds)
--- a/packages/cornelspan-control/src/cornelspan_control/subscribers.py
+++ b/packages/cornelspan-control/src/cornelspan_control/subscribers.py
@@ -1,4 +1,4 @@
-"""The relay's side: serving the processes that connect here."""
+"""Serves the processes that connect to this daemon."""
 
 import asyncio
 
@@ -9,9 +9,9 @@
 
 
 async def serve_subscriber(plane: Plane, detector: FailureDetector, peer: Peer) -> None:
-    """Hear one process out until its stream ends.
+    """Handle the messages of one process until its stream ends.
 
-    The end of a stream is a hint that the process died; the judge looks at it soon.
+    The process may have died, so the failure detector then checks it soon.
     """
     try:
         async for batch in batches(peer):
@@ -24,9 +24,9 @@
 
 
 async def send_heartbeats(plane: Plane) -> None:
-    """Tell subscribers now and then that this relay lives, and its revision.
+    """Send heartbeats with the revision in force to all subscribers.
 
-    A subscriber that missed a change sees the higher revision and asks for it.
+    A subscriber that missed a change sees the higher revision and requests it.
     """
     control = plane.settings.control
     interval = control.heartbeat_seconds * control.relay_heartbeats
--- a/packages/cornelspan-control/src/cornelspan_control/summaries.py
+++ b/packages/cornelspan-control/src/cornelspan_control/summaries.py
@@ -1,17 +1,17 @@
 """Service-level counts of a data centre: collected by relays, kept in the store.
 
     collector = Collector("chuo-hall")
-    collector.take(counts)                      # whenever an agent reports
+    collector.record(counts)                      # whenever an agent reports
     await collector.seal(client, now=minute)    # every seal_seconds
 
-The store holds one object a data centre, ``service-levels/NAME``. A relay adds what its
-agents have counted by a conditional update. The same update notes, for each agent,
-up to which minute it is counted. So two relays at once, a relay that dies, an update
-whose answer is lost and an agent that was cut off for an hour all lead to the same
-sums.
+The store holds one object per data centre, ``service-levels/NAME``. A relay adds the
+counts of its agents by a conditional update. The same update stores, for each agent, up
+to which minute its counts are included; these minutes are called sealed. So each minute
+is counted once, even if two relays write, a relay dies, the response to an update is
+lost, or an agent was disconnected for an hour.
 
-The cost is one read and one write of the object for each relay and ``seal_seconds``: a
-minute, or longer where the object is big, so that it stays within ``MAX_BYTES_PER_SECOND``.
+Each relay reads and writes the object once per ``seal_seconds``. That is a minute, or
+longer for a large object, so that the traffic stays within ``MAX_BYTES_PER_SECOND``.
 """
 
 from dataclasses import dataclass, field
@@ -43,14 +43,17 @@
 
 
 class ServiceSummary(msgspec.Struct, frozen=True):
-    """One service's counts in one data centre, and its latencies of the last hour."""
+    """Counts of one service in one data centre, and latencies of the last hour.
+
+    ``latencies`` is an encoded HDR histogram in microseconds.
+    """
 
     series: Series = Series()
     latencies: bytes = b""
 
 
 class SealedAgent(msgspec.Struct, frozen=True):
-    """Up to which minute one life of an agent is counted."""
+    """The last minute whose counts are included, for one incarnation of an agent."""
 
     agent: str
     incarnation: int
@@ -59,7 +62,7 @@
 
 
 class Summary(msgspec.Struct, frozen=True):
-    """All counts of one data centre, as they lie in the store."""
+    """All counts of one data centre, as stored. ``minute`` is when it was written."""
 
     datacentre: str
     minute: int = 0
@@ -67,7 +70,7 @@
     agents: tuple[SealedAgent, ...] = ()
 
     def silent_agents(self) -> list[SealedAgent]:
-        """Return agents whose newest life has not reported for some minutes."""
+        """Return agents whose newest incarnation has stopped reporting."""
         newest = {each.agent: each for each in self.agents}
         limit = self.minute - SILENT_MINUTES
         return [each for each in newest.values() if each.minute < limit]
@@ -75,7 +78,12 @@
 
 @dataclass
 class PendingCounts:
-    """What one life of an agent has counted that is not in the store yet."""
+    """Counts of one agent incarnation that are not in the store yet.
+
+    Attributes:
+        complete: Last minute that the agent has finished counting.
+        reported: Whether the agent has reported since the last update of the store.
+    """
 
     service: str
     complete: int = 0
@@ -88,7 +96,15 @@
 
 
 class Collector:
-    """What a relay balancer has heard from the agents of its data centre."""
+    """Counts that a relay has received from the agents of a data centre.
+
+    Attributes:
+        pending: Counts that are not in the store yet.
+        sealed: Last minute in the store for each agent incarnation.
+        summary: The object as last written.
+        failures: Failed updates of the object.
+        value_bytes: Size of the object as last written.
+    """
 
     def __init__(self, datacentre: str) -> None:
         self.datacentre = datacentre
@@ -100,11 +116,11 @@
 
     @property
     def seal_seconds(self) -> float:
-        """How long to wait between two updates of the object."""
+        """Interval between two updates of the object."""
         return max(SEAL_SECONDS, 2 * self.value_bytes / MAX_BYTES_PER_SECOND)
 
     def series(self) -> dict[str, Series]:
-        """Return each service's counts, sealed and not, as this relay knows them."""
+        """Return each service's counts, including those not in the store yet."""
         current = {name: each.series for name, each in self.summary.services.items()}
         for pending in self.pending.values():
             before = current.get(pending.service, Series())
@@ -112,8 +128,8 @@
             current[pending.service] = _with_minutes(before, pending.minutes, newest)
         return current
 
-    def take(self, counts: ServiceCounts) -> None:
-        """Take in an agent's counts; what is said again replaces itself."""
+    def record(self, counts: ServiceCounts) -> None:
+        """Record an agent's counts; a minute that is sent again is replaced."""
         key = (counts.agent, counts.incarnation)
         pending = self.pending.setdefault(key, PendingCounts(counts.service))
         pending.complete = max(pending.complete, counts.complete)
@@ -125,19 +141,19 @@
                 pending.minutes[minute.number] = minute
 
     def sealed_minute(self, agent: str, incarnation: int) -> int:
-        """Return up to which minute an agent need not report again."""
+        """Return the last minute that an agent need not report again."""
         return self.sealed.get((agent, incarnation), 0)
 
     async def seal(self, client: StoreClient, *, now: int) -> Result[int, StoreError]:
-        """Add the minutes that are over to the data centre's object.
+        """Add all complete minutes to the data centre's object in the store.
 
         Args:
             client: The store.
             now: The current minute.
 
         Returns:
-            The object's new version. After an error everything is kept for the next
-            time, whether or not the update took effect.
+            The object's new version. After an error all counts are kept for the next
+            call, whether or not the update took effect.
         """
         name = SUMMARY_PREFIX + self.datacentre
         match await read_summary(client, self.datacentre):
@@ -146,8 +162,8 @@
             case Err(error):
                 self.failures += 1
                 return Err(error)
-        # Another relay may have counted our agents' minutes, or our last update took
-        # effect though its answer was lost; then they must not be counted again.
+        # These minutes may be in the store already: written by another relay, or by our
+        # last update if its response was lost. They must not be counted again.
         self._drop_sealed(summary)
         summary = self._with_pending(summary, now)
         value = encode_summary(summary)
@@ -162,7 +178,7 @@
                 return Err(error)
 
     def _drop_sealed(self, summary: Summary) -> None:
-        """Drop what the store has already."""
+        """Drop pending counts that the store already has."""
         for each in summary.agents:
             self.sealed[each.agent, each.incarnation] = each.minute
         for key, pending in self.pending.items():
@@ -172,7 +188,7 @@
         self._drop_expired(summary.minute)
 
     def _drop_expired(self, minute: int) -> None:
-        """Drop lives that are long over and have nothing left to count."""
+        """Drop agent incarnations that ended long ago and have no counts left."""
         oldest = minute - AGENT_RETENTION_MINUTES
         for key in [key for key, m in self.sealed.items() if m < oldest]:
             del self.sealed[key]
@@ -183,8 +199,8 @@
     def _with_pending(self, summary: Summary, now: int) -> Summary:
         """Return the summary with all complete pending minutes added.
 
-        A minute that its agent may still be counting in waits: sealed too early, what
-        came after would be lost.
+        A minute in which its agent still counts is left pending. If it was sealed now,
+        later requests in that minute would be lost.
         """
         services = dict(summary.services)
         agents = {(a.agent, a.incarnation): a for a in summary.agents}
@@ -208,22 +224,22 @@
 
 
 def merge_latencies(encoded: list[bytes]) -> bytes:
-    """Return the sum of compressed histograms; a broken one is left out."""
+    """Return the sum of encoded histograms, without those that can't be decoded."""
     merged = HdrHistogram(1, MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS)
     for each in encoded:
         try:
             merged.decode_and_add(each)
         except Exception:
-            # The library raises what its decoder meets: zlib, base64 and its own.
+            # The library raises errors of zlib and base64 as well as its own.
             continue
     return merged.encode()
 
 
 def encode_summary(summary: Summary) -> bytes:
-    """Return a summary's bytes, without latencies where it would grow too big.
+    """Encode a summary, without its latencies if it would be too large.
 
-    An object over the store's limit would be refused for good, and nothing would be
-    counted any more. Histograms are what can be missed best.
+    The store would refuse every update with an object over its limit, and no further
+    requests would be counted. The histograms are the least important part.
     """
     value = msgspec.msgpack.encode(summary)
     if len(value) <= MAX_VALUE_BYTES:
@@ -246,11 +262,11 @@
     try:
         return Ok((msgspec.msgpack.decode(found.value, type=Summary), found.version))
     except msgspec.DecodeError as error:
-        return Err(StoreUnavailable(f"{found.name} is none of ours: {error}"))
+        return Err(StoreUnavailable(f"{found.name} is not a valid summary: {error}"))
 
 
 async def read_summaries(client: StoreClient) -> Result[list[Summary], StoreError]:
-    """Return the summaries of all data centres that can be read."""
+    """Return the summaries of all data centres, empty for those that can't be read."""
     match await client.list_objects(SUMMARY_PREFIX):
         case Err(error):
             return Err(error)
--- a/packages/cornelspan-standins/src/cornelspan_standins/_control_fleet.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_control_fleet.py
@@ -101,7 +101,7 @@
 
     def stream_bytes(self) -> int:
         """Return the bytes sent and received on the streams open now."""
-        plane, relays = self.control.plane, self.control.relays
+        plane, relays = self.control.plane, self.control.relay_links
         peers = [each.peer for each in plane.subscribers.values()]
         peers += list(relays.links.open.values())
         return sum(peer.sent_bytes + peer.received_bytes for peer in peers)
@@ -156,7 +156,9 @@
         """Whether all follow both relays, know the balancers and have a revision."""
         everyone = len(self.daemons)
         known = all(len(each.members.known) == everyone for each in self.relays)
-        followed = all(len(each.control.relays.links.open) == 2 for each in self.others)
+        followed = all(
+            len(each.control.relay_links.links.open) == 2 for each in self.others
+        )
         informed = all(each.configuration.revision >= revision for each in self.daemons)
         return known and followed and informed
 
--- a/tests/control_fleet.py
+++ b/tests/control_fleet.py
@@ -1,4 +1,4 @@
-"""Daemons with nothing but a control plane, for the tests of it."""
+"""Daemons that run only a control plane, for its tests."""
 
 import contextlib
 import itertools
@@ -37,7 +37,7 @@
 
 @dataclass
 class Node:
-    """One daemon: what it has in force and whom it knows."""
+    """One daemon with its configuration and members."""
 
     settings: DaemonSettings
     role: str
@@ -84,7 +84,7 @@
     control: ControlSettings = SHORT_TIMES,
     calls_per_second: float = 1000.0,
 ) -> AsyncIterator[Node]:
-    """Run a balancer, or the agent of a service, as long as the context lasts."""
+    """Run a balancer, or the agent of a service, within the context."""
     host = store.host
     settings = DaemonSettings(
         name=name,
@@ -120,7 +120,7 @@
 
 
 class Fleet:
-    """Nodes by name, each with the context that ends it."""
+    """Nodes by name, each with the context that stops it."""
 
     def __init__(self, store: Address, base_port: int, seeds: int = 2) -> None:
         self.store = store
@@ -140,15 +140,15 @@
         return node
 
     async def kill(self, name: str) -> None:
-        """End a daemon without a word, as a crash does."""
+        """Stop a daemon without announcing it, as a crash does."""
         del self.nodes[name]
         await self.contexts.pop(name).aclose()
 
     async def stop(self) -> None:
-        """End all of them."""
+        """Stop all daemons."""
         for name in list(self.nodes):
             await self.kill(name)
 
     def revisions(self) -> set[int]:
-        """Return the revisions in force."""
+        """Return the distinct revisions in force."""
         return {node.configuration.revision for node in self.nodes.values()}
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Counting against an objective, and what burn rates and alerts follow from it."""
+"""Counts of good and bad requests, burn rates and alerts."""
 
 import math
 
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Acceptance of changes: validation, conflicts, lost answers and races."""
+"""Accepting changes: validation, conflicts, lost responses and races."""
 
 import asyncio
 
@@ -104,8 +104,8 @@
 
 
 async def test_racing_edit_gets_a_conflict_with_the_other_version(client):
-    # Two operators read the same version; the second to save would undo the first's
-    # edit unseen. It gets a conflict that holds what the first one saved.
+    # Two operators edit the same version. The second to save would silently revert the
+    # first edit; it gets a conflict with the first one's version instead.
     await create(client, "profiles", ORDER)
     base = (await read_current(client, "profiles", "order")).unwrap().base
     mine = Profile(name="order", priority=1)
@@ -138,8 +138,8 @@
 
 
 async def test_lost_answer_is_settled_by_the_change_id(client, store):
-    # The head moves but the answer is lost. The operator must not be told "failed",
-    # and the retry must not make a second revision: the id in the head settles it.
+    # The head is updated but the response is lost. The change must not be reported as
+    # failed, and the retry must not create a second revision: its id is in the head.
     store.faults.lost_answers = 0.4
     for number in range(30):
         profile = Profile(name=f"p{number}")
@@ -148,10 +148,10 @@
 
 
 async def test_late_write_cannot_apply_twice(client, store, settings):
-    # The store is slower than the call's time-out: the first update of the head is
-    # still on its way when it is sent again. Both carry the same condition, so one
-    # of them at most can hold. How often that happens depends on the machine, so edits
-    # go on until it has, five at least.
+    # The store is slower than the call's timeout, so the first update of the head is
+    # still in flight when it is retried. Both have the same condition, so at most one
+    # takes effect. How often that happens depends on the computer's speed, so edits
+    # continue until it has happened, at least five times.
     await create(client, "profiles", Profile(name="order", drain_seconds=0.0))
     quick = StoreClient(msgspec.structs.replace(settings, call_seconds=0.05))
     number = 0
@@ -193,9 +193,9 @@
 
 
 async def test_two_operators_race_500_edits(client, store, settings):
-    # Both add one to the same number, 250 times each, while the store loses answers
-    # and gives stale reads. A lost edit leaves the sum short, a doubled one over; each
-    # conflict is read again and tried anew, as an operator would.
+    # Both increment the same number 250 times, while the store loses requests and
+    # responses and returns stale reads. A lost edit makes the sum too small, one that
+    # is applied twice too large. After a conflict the edit is retried.
     await create(client, "profiles", Profile(name="order", drain_seconds=0.0))
     store.faults.lost_answers = 0.02
     store.faults.lost_requests = 0.02
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -43,12 +43,12 @@
 async def wait_until(condition, *, seconds=10.0):
     deadline = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < deadline, "waited in vain"
+        assert time.monotonic() < deadline, "condition not met in time"
         await asyncio.sleep(0.02)
 
 
 async def put_profile(operator, name="order", **fields):
-    """Edit a profile; a conflict, from a stale read, is tried anew."""
+    """Edit a profile; retry after a conflict, which a stale read can cause."""
     while True:
         seen = await read_current(operator, "profiles", name)
         if isinstance(seen, Err):
@@ -72,7 +72,7 @@
 
 
 def all_know(fleet):
-    """Whether each daemon knows all that concern it, and nobody who is dead."""
+    """Whether each daemon knows all members it must know, and no dead ones."""
     return all(
         required_members(fleet, node) <= set(node.members.known) <= set(fleet.nodes)
         for node in fleet.nodes.values()
@@ -80,7 +80,10 @@
 
 
 def required_members(fleet, node):
-    """Names that a daemon must know: an agent its service and its balancers."""
+    """Names that a daemon must know.
+
+    For an agent these are its service's agents and its data centre's balancers.
+    """
     return {
         name
         for name, other in fleet.nodes.items()
@@ -122,8 +125,8 @@
 
 
 async def test_store_down_changes_nothing_and_newcomers_start(fleet, store, operator):
-    # The store goes down. What is in force stays, members still come and go, and a
-    # daemon that starts now takes the newest configuration from its peers.
+    # While the store is down, the configuration in force stays, membership still
+    # changes, and a daemon that starts gets the newest configuration from its peers.
     await start_fleet(fleet)
     revision = await put_profile(operator, priority=3)
     await wait_until(lambda: fleet.revisions() == {revision})
@@ -143,8 +146,8 @@
 async def test_missed_events_and_stale_reads_delay_but_never_revert(
     fleet, store, operator
 ):
-    # No watch sees a write, and a third of the reads are old. Relays read the head
-    # after each watch; an old answer is not newer than what is in force.
+    # Watches miss all writes, and a third of the reads are stale. Relays read the head
+    # after each watch, and never apply a revision that isn't newer.
     await start_fleet(fleet)
     seen = {name: 0 for name in fleet.nodes}
     store.faults.missed_events = 1.0
@@ -159,8 +162,8 @@
 
 
 async def test_relay_killed_while_changes_come(fleet, operator):
-    # The primary relay dies between the acceptance of a change and passing it on. The
-    # second relay watches too, so no daemon waits; another takes the dead one's place.
+    # The primary relay crashes after a change was accepted and before it forwards it.
+    # The second relay watches the store too, and another balancer replaces the primary.
     await start_fleet(fleet, balancers=4)
     primary = fleet.nodes["entry-0"].control.plane.relays()[0]
     revision = await put_profile(operator, priority=1)
@@ -181,8 +184,8 @@
 
 
 async def test_daemon_started_with_the_store_down_and_alone(fleet, store, operator):
-    # The first daemon of all starts while the store is down: it has nothing in force,
-    # says so, and takes the configuration as soon as the store is back.
+    # The only daemon starts while the store is down. It has no configuration until the
+    # store is reachable again.
     revision = await put_profile(operator)
     store.faults.down = True
     node = await fleet.start("entry-0")
@@ -208,8 +211,8 @@
 
 
 async def test_wrongly_judged_member_begins_a_new_life(fleet):
-    # All are told that a living agent is gone, as after a pause. Its next beat is
-    # answered with that, and it comes back under a new incarnation.
+    # All other daemons remove an agent that is alive, as after a pause. The reply to
+    # its next heartbeat says so, and it rejoins under a new incarnation.
     await start_fleet(fleet)
     agent = fleet.nodes["hub-0"]
     first = agent.hello.incarnation
@@ -231,13 +234,13 @@
 
 
 async def test_second_meeting_does_not_silence_the_first_stream(fleet, operator):
-    # A daemon that meets a relay again while it follows it already has two streams
-    # there. The end of the second took the daemon off the relay's list once: it heard
-    # no more changes, and took the relay for silent half a minute later.
+    # A daemon that contacts its relay as a seed has two streams there. If the end of
+    # the second removed the subscription of the first, the daemon would get no more
+    # changes and consider the relay silent half a minute later.
     await start_fleet(fleet)
     agent = fleet.nodes["hub-0"]
     for _ in range(3):
-        await agent.control.relays.contact_one_seed()
+        await agent.control.relay_links.contact_one_seed()
     revision = await put_profile(operator)
     await wait_until(lambda: fleet.revisions() == {revision})
     await asyncio.sleep(3 * SHORT_TIMES.relay_silent_seconds)
@@ -249,9 +252,9 @@
 
 @pytest.mark.soak
 async def test_store_down_for_a_minute(fleet, store, operator):
-    # The whole minute at the daemons' own times divided by fifty: members come and go,
-    # a relay dies, newcomers start, nothing reverts, and no daemon storms the store
-    # while it is down or when it comes back.
+    # A minute of store outage, with the daemons' times divided by fifty. Members join
+    # and crash, no revision reverts, and the daemons don't overload the store with
+    # retries.
     await start_fleet(fleet, balancers=4, agents=8)
     revision = await put_profile(operator, priority=1)
     await wait_until(lambda: fleet.revisions() == {revision})
--- a/tests/test_paused_relay.py
+++ b/tests/test_paused_relay.py
@@ -1,4 +1,4 @@
-"""A relay that is paused for real, by a stop signal, and wakes."""
+"""A relay process that is paused by SIGSTOP and resumes."""
 
 import asyncio
 import contextlib
@@ -47,15 +47,15 @@
 
 
 def primary_of(names):
-    """Name that the election puts first, so that the test can pause it."""
+    """Return the name that relay selection ranks first."""
     return rank(name_seed("chuo-hall"), [(n, name_seed(n), 1.0) for n in names])[0]
 
 
 async def test_paused_primary_relay_wakes_and_does_no_harm(base_port):
-    # The primary relay stops in mid-run and is judged dead. Others take its place, the
-    # configuration goes on, members come and go. It wakes with an old revision, an old
-    # epoch and a silence of all members behind it. Nobody living may be judged dead by
-    # it, no revision may go back, and it must catch up and come back as a new life.
+    # The primary relay is paused and removed, while configuration and members change.
+    # It resumes with an old revision and an old epoch, and all members look silent to
+    # it. It must remove no member that is alive and revert no revision, and must catch
+    # up and rejoin under a new incarnation.
     store_address = Address(host="127.0.0.1", port=base_port)
     names = [f"entry-{number}" for number in range(4)]
     primary = primary_of(names)
@@ -99,17 +99,16 @@
 
 
 class UndeletableEpochs(dict):
-    """The epochs that a relay holds, when its loop has not seen that it lost them."""
+    """Epochs held by a relay whose loop hasn't noticed that it is no longer primary."""
 
     def __delitem__(self, datacentre):
         pass
 
 
 async def test_a_primary_that_was_one_unseen_leaves_no_epoch_behind(base_port):
-    # Two relays start together and both begin with the first epoch. The one that ranks
-    # first is the primary for less than a turn of the other's loop, then it is gone
-    # without a word. Had it only been paused, it would wake and speak under its epoch:
-    # the other must judge on under a later one, or members would believe both.
+    # Two relays start together and both use the first epoch. The primary crashes within
+    # one iteration of the other's loop. If it was only paused, its removals would be
+    # accepted when it resumes, so the other relay must continue under a later epoch.
     store_address = Address(host="127.0.0.1", port=base_port)
     names = ["entry-0", "entry-1"]
     primary = primary_of(names)
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -1,4 +1,4 @@
-"""Ranking of endpoints: the same everywhere, and little moves."""
+"""Ranking of endpoints: equal in all processes, and stable when members change."""
 
 import msgspec
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""The report on service-level burn, and a relay's alerts."""
+"""The service-level report, and the alerts of a relay."""
 
 from cornelspan_balancer.service_levels import ServiceLevels
 from cornelspan_common.service_levels import Minute, ServiceCounts
@@ -54,9 +54,9 @@
 
 
 def test_relay_raises_and_clears_an_alert_without_the_store():
-    # Orders fail for some minutes while the store is down. The relay hears the counts
-    # from the agents' streams and alerts on its own; when good minutes have followed,
-    # the short window clears the alert though the hour is still bad.
+    # Orders fail for some minutes while the store is down. The relay gets the counts
+    # from the agents and raises the alert itself. After good minutes the short window
+    # clears it, although the rate over the hour is still high.
     configuration = Configuration()
     configuration.apply(SNAPSHOT)
     levels = ServiceLevels(configuration)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client against the stand-in, with the faults a store may have."""
+"""The store client against a stand-in store with faults."""
 
 import asyncio
 import time
