--- a/packages/cornelspan-control/src/cornelspan_control/dispatch.py
+++ b/packages/cornelspan-control/src/cornelspan_control/dispatch.py
@@ -17,7 +17,7 @@
 from cornelspan_common.packets import Message
 from cornelspan_common.service_levels import Sealed, ServiceCounts
 from cornelspan_common.streams import Peer
-from cornelspan_control.failure_detection import FailureDetector, answer_suspect
+from cornelspan_control.failure_detection import FailureDetector, handle_suspect
 from cornelspan_control.plane import Plane, Subscriber
 from cornelspan_control.status import status_of
 
@@ -42,7 +42,7 @@
         case RevisionRequest():
             _send_newer(plane, peer, message.revision)
         case Suspect():
-            plane.tasks.start(answer_suspect(plane, peer, message), name="witness")
+            plane.tasks.start(handle_suspect(plane, peer, message), name="witness")
         case Verdict():
             detector.receive_verdict(message)
         case ServiceCounts() if plane.collect_counts is not None:
--- a/packages/cornelspan-control/src/cornelspan_control/failure_detection.py
+++ b/packages/cornelspan-control/src/cornelspan_control/failure_detection.py
@@ -70,13 +70,13 @@
         took too long reveals the pause, and all timeouts then start again.
         """
         interval = min(self.control.heartbeat_seconds, self.control.lost_seconds) / 2
-        last_turn = time.monotonic()
+        last_iteration = time.monotonic()
         while True:
             await asyncio.sleep(interval)
             now = time.monotonic()
-            if now - last_turn > interval + self.control.heartbeat_seconds:
+            if now - last_iteration > interval + self.control.heartbeat_seconds:
                 self._reset_timeouts(now)
-            last_turn = now
+            last_iteration = now
             datacentres = self._update_held_epochs()
             await asyncio.gather(
                 *(self._check(m) for m in self._silent_members(datacentres, now))
@@ -131,7 +131,9 @@
     async def _check(self, member: Announce) -> None:
         async with self.check_slots:
             reached = await probe(self.plane, member)
-            reached_by_other = False if reached else await self._ask_balancer(member)
+            reached_by_other = (
+                False if reached else await self._ask_other_balancer(member)
+            )
         self.stream_ended.pop(member.name, None)
         if reached or reached_by_other:
             self.found_alive += 1
@@ -151,7 +153,7 @@
         gone = Gone(member.name, member.incarnation)
         self.plane.remove(gone, member.datacentre)
 
-    async def _ask_balancer(self, member: Announce) -> bool | None:
+    async def _ask_other_balancer(self, member: Announce) -> bool | None:
         """Ask another balancer whether a member is alive.
 
         Returns:
@@ -209,7 +211,7 @@
                 return False
 
 
-async def answer_suspect(plane: Plane, peer: Peer, suspect: Suspect) -> None:
+async def handle_suspect(plane: Plane, peer: Peer, suspect: Suspect) -> None:
     """Answer another relay's question whether a member is alive.
 
     A member that has sent something recently on an open stream is alive; any other is
--- a/packages/cornelspan-control/src/cornelspan_control/ranking.py
+++ b/packages/cornelspan-control/src/cornelspan_control/ranking.py
@@ -41,13 +41,13 @@
         if found is not None:
             return found
         names = tuple(rank(flow, self.endpoints)[:MAX_CANDIDATES])
-        found = self._interned(names)
+        found = self._intern(names)
         if len(self.candidates_by_flow) >= MAX_CACHED_RANKINGS:
             self.candidates_by_flow.clear()
         self.candidates_by_flow[flow] = found
         return found
 
-    def _interned(self, names: tuple[str, ...]) -> Candidates:
+    def _intern(self, names: tuple[str, ...]) -> Candidates:
         """Return the candidates for a list of names, shared between flows."""
         found = self.candidates_by_names.get(names)
         if found is None:
--- a/packages/cornelspan-control/src/cornelspan_control/relay_links.py
+++ b/packages/cornelspan-control/src/cornelspan_control/relay_links.py
@@ -79,13 +79,13 @@
         control = self.plane.settings.control
         random = self.plane.store.random
         interval = min(control.heartbeat_seconds, control.lost_seconds)
-        last_turn = time.monotonic()
-        next_heartbeat = last_turn
+        last_iteration = time.monotonic()
+        next_heartbeat = last_iteration
         while True:
             now = time.monotonic()
-            if now - last_turn > 2 * interval:
+            if now - last_iteration > 2 * interval:
                 self._reset_timeouts()
-            last_turn = now
+            last_iteration = now
             self.update_links()
             if now >= next_heartbeat:
                 self.send(self.plane.heartbeat())
