--- a/packages/cornelspan-control/src/cornelspan_control/ranking.py
+++ b/packages/cornelspan-control/src/cornelspan_control/ranking.py
@@ -1,9 +1,8 @@
-"""Ranks the endpoints of a service for a flow: who is home, and who is asked next.
+"""Ranks the endpoints of a service for a flow: its home first, then the alternatives.
 
-Balancers and agents rank alike, so the rank depends on the flow and on the membership
-alone, never on the place of the one who ranks: two that know the same members name the
-same home. Only configured weights count. Weights that follow load would move homes
-under running flows.
+The ranking depends only on the flow and the members, so balancers and agents that know
+the same members find the same home. Only configured weights are used: weights that
+follow the load would change the home of running flows.
 
     ranking = Ranking(members)
     ranking.candidates("order-hub", flow).names[0]
@@ -16,8 +15,8 @@
 from cornelspan_common.hashing import name_seed, rank
 from cornelspan_control.members import Members
 
-CANDIDATES = 8
-CACHED_FLOWS = 65_536
+MAX_CANDIDATES = 8
+MAX_CACHED_RANKINGS = 65_536
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,52 +27,53 @@
     encoded: msgspec.Raw
 
 
-class Group:
+class EndpointGroup:
     """The endpoints of one service at one version of the membership."""
 
     def __init__(self, endpoints: list[tuple[str, int, float]]) -> None:
         self.endpoints = endpoints
-        self.by_flow: dict[int, Candidates] = {}
-        self.by_names: dict[tuple[str, ...], Candidates] = {}
+        self.candidates_by_flow: dict[int, Candidates] = {}
+        self.candidates_by_names: dict[tuple[str, ...], Candidates] = {}
 
     def candidates(self, flow: int) -> Candidates:
-        """Return the flow's candidates, ranked at its first packet and then kept."""
-        found = self.by_flow.get(flow)
+        """Return the flow's candidates, ranked on the first call and then cached."""
+        found = self.candidates_by_flow.get(flow)
         if found is not None:
             return found
-        names = tuple(rank(flow, self.endpoints)[:CANDIDATES])
-        found = self._shared(names)
-        if len(self.by_flow) >= CACHED_FLOWS:
-            self.by_flow.clear()
-        self.by_flow[flow] = found
+        names = tuple(rank(flow, self.endpoints)[:MAX_CANDIDATES])
+        found = self._intern(names)
+        if len(self.candidates_by_flow) >= MAX_CACHED_RANKINGS:
+            self.candidates_by_flow.clear()
+        self.candidates_by_flow[flow] = found
         return found
 
-    def _shared(self, names: tuple[str, ...]) -> Candidates:
-        """Return the one object for an order; flows of the same order share it."""
-        found = self.by_names.get(names)
+    def _intern(self, names: tuple[str, ...]) -> Candidates:
+        """Return the candidates for a list of names, shared between flows."""
+        found = self.candidates_by_names.get(names)
         if found is None:
-            if len(self.by_names) >= CACHED_FLOWS:
-                self.by_names.clear()
+            if len(self.candidates_by_names) >= MAX_CACHED_RANKINGS:
+                self.candidates_by_names.clear()
             found = Candidates(names, msgspec.Raw(msgspec.msgpack.encode(names)))
-            self.by_names[names] = found
+            self.candidates_by_names[names] = found
         return found
 
 
 class Ranking:
-    """The groups of all services, worked out once a version of the membership.
+    """Endpoint groups of all services, rebuilt when the membership changes.
 
-    A group of up to ``CANDIDATES`` endpoints is its own whole list, so that an owner
-    is found even when the home's directory died with it. Leaving endpoints stay in
-    the list for the flows they have; their own agents refuse new ones.
+    If a service has up to ``MAX_CANDIDATES`` endpoints, all are candidates of each
+    flow. The owner of a flow is then found even if the home died and its directory was
+    lost. Leaving endpoints stay candidates for the flows they have; their agents refuse
+    new flows.
     """
 
     def __init__(self, members: Members) -> None:
         self.members = members
         self.version = -1
-        self.groups: dict[str, Group] = {}
+        self.groups: dict[str, EndpointGroup] = {}
 
     def candidates(self, service: str, flow: int) -> Candidates:
-        """Return the candidates of a flow of a service; none if nobody serves it."""
+        """Return the candidates of a flow; none if the service has no endpoints."""
         if self.version != self.members.version:
             self.groups.clear()
             self.version = self.members.version
@@ -83,6 +83,6 @@
             self.groups[service] = group
         return group.candidates(flow)
 
-    def _group(self, service: str) -> Group:
+    def _group(self, service: str) -> EndpointGroup:
         agents = self.members.of_service(service)
-        return Group([(m.name, name_seed(m.name), m.weight) for m in agents])
+        return EndpointGroup([(m.name, name_seed(m.name), m.weight) for m in agents])
