--- a/packages/cornelspan-requests/src/cornelspan_requests/admission.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/admission.py
@@ -12,32 +12,32 @@
 
 from cornelspan_control.profiles import RequestPolicy
 from cornelspan_requests.outcomes import Outcome, Reason, Refusal
-from cornelspan_requests.queue import Place, RequestQueue, Ticket
-from cornelspan_requests.servicetimes import ServiceTimes
+from cornelspan_requests.queue import QueuePosition, RequestQueue, Ticket
+from cornelspan_requests.service_times import ServiceTimes
 
-LEAST_RETRY_AFTER = 1.0
-QUEUE_BYTES = 33554432
+MIN_RETRY_AFTER_SECONDS = 1.0
+MAX_QUEUED_BYTES = 33554432
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class ShedTicket:
     """A waiting ticket that is given up, and what its caller is told, at once."""
 
     ticket: Ticket
-    refusal: Refusal
+    rejection: Refusal
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
     """What an offer has led to.
 
-    ``started`` may run now, ``refusal`` is the offered ticket's own, and ``given_up``
+    ``started`` may run now, ``rejection`` is the offered ticket's own, and ``shed``
     are others that the offered one has pushed out.
     """
 
     started: bool = False
-    refusal: Refusal | None = None
-    given_up: tuple[Given, ...] = ()
+    rejection: Refusal | None = None
+    shed: tuple[ShedTicket, ...] = ()
 
 
 @dataclass
@@ -69,7 +69,7 @@
     def __post_init__(self) -> None:
         self.limit = self.limit or self.slots
 
-    def wait_before(self, ahead: int) -> float:
+    def expected_wait(self, ahead: int) -> float:
         """Return the seconds until a slot is likely free behind ``ahead`` others."""
         if self.running < self.limit and not ahead:
             return 0.0
@@ -83,15 +83,15 @@
         by its deadline behind those before it is refused now, since the work would be
         for nobody and the caller can ask elsewhere.
         """
-        self._place(ticket)
-        refusal = self._refusal(ticket, policy, now)
-        if refusal is not None:
-            return Decision(refusal=refusal)
+        self._assign_position(ticket)
+        rejection = self._check_rejection(ticket, policy, now)
+        if rejection is not None:
+            return Decision(rejection=rejection)
         if self.running < self.limit and not self.queue.tickets:
             self._start(ticket, now)
             return Decision(started=True)
         self.queue.add(ticket)
-        return Decision(given_up=tuple(self._overflow(policy) + self.sweep(now)))
+        return Decision(shed=tuple(self._shed_overflow(policy) + self.shed_late(now)))
 
     def finish(
         self, ticket: Ticket, *, now: float, measured: bool = True
@@ -127,69 +127,76 @@
         """Forget a waiting ticket whose caller is gone."""
         return self.queue.remove(ticket)
 
-    def sweep(self, now: float) -> list[Given]:
+    def shed_late(self, now: float) -> list[ShedTicket]:
         """Give up the waiting tickets that can no longer end by their deadline."""
         late = [
             ticket
             for ahead, ticket in enumerate(self.queue.tickets)
-            if now + self.wait_before(ahead) > ticket.latest
+            if now + self.expected_wait(ahead) > ticket.latest_start
         ]
-        return [self._give_up(ticket, Reason.DEADLINE) for ticket in late]
+        return [self._shed(ticket, Reason.DEADLINE) for ticket in late]
 
-    def _place(self, ticket: Ticket) -> None:
+    def _assign_position(self, ticket: Ticket) -> None:
         outstanding = (
             self.queue.callers[ticket.caller] + self.running_callers[ticket.caller]
         )
         self.number += 1
-        crowding = outstanding // self.slots
-        ticket.place = Place(ticket.priority, crowding, ticket.deadline, self.number)
+        caller_load = outstanding // self.slots
+        ticket.position = QueuePosition(
+            ticket.priority, caller_load, ticket.deadline, self.number
+        )
         # The measured need is cut for callers whose deadline is shorter than it: they
         # start at once or not at all, but a slow phase can't shut them out for good.
         window = ticket.deadline - ticket.arrived
-        ticket.latest = ticket.deadline - min(self.times.needed, window / 2)
+        ticket.latest_start = ticket.deadline - min(
+            self.times.high_estimate, window / 2
+        )
 
-    def _refusal(
+    def _check_rejection(
         self, ticket: Ticket, policy: RequestPolicy, now: float
     ) -> Refusal | None:
-        ahead = self.queue.ahead_of(ticket.place)
-        if now + self.wait_before(ahead) > ticket.latest:
+        ahead = self.queue.ahead_of(ticket.position)
+        if now + self.expected_wait(ahead) > ticket.latest_start:
             self.counts.deadline += 1
-            return self._refuse(Reason.DEADLINE)
+            return self._rejection(Reason.DEADLINE)
         if self.running < self.limit and not self.queue.tickets:
             return None
-        if self._over_share(ticket.caller, policy):
+        if self._exceeds_share(ticket.caller, policy):
             self.counts.caller_share += 1
-            return self._refuse(Reason.CALLER_SHARE)
-        if ahead >= policy.queue or self.queue.held_bytes + ticket.size > QUEUE_BYTES:
+            return self._rejection(Reason.CALLER_SHARE)
+        if (
+            ahead >= policy.queue
+            or self.queue.queued_bytes + ticket.size > MAX_QUEUED_BYTES
+        ):
             self.counts.queue_full += 1
-            return self._refuse(Reason.QUEUE_FULL)
+            return self._rejection(Reason.QUEUE_FULL)
         return None
 
-    def _over_share(self, caller: str, policy: RequestPolicy) -> bool:
+    def _exceeds_share(self, caller: str, policy: RequestPolicy) -> bool:
         """Whether a caller fills its part of the queue while others wait too.
 
         Alone it may have all of the queue, as a hall full of kiosks behind one address:
         whoever comes then is less crowded and pushes out its last.
         """
         waiting = self.queue.callers[caller]
-        most = max(1, int(policy.queue * policy.caller_share))
-        return waiting >= most and len(self.queue) > waiting
+        max_waiting = max(1, int(policy.queue * policy.caller_share))
+        return waiting >= max_waiting and len(self.queue) > waiting
 
-    def _overflow(self, policy: RequestPolicy) -> list[Given]:
+    def _shed_overflow(self, policy: RequestPolicy) -> list[ShedTicket]:
         surplus = self.queue.tickets[policy.queue :]
-        return [self._give_up(ticket, Reason.QUEUE_FULL) for ticket in surplus]
+        return [self._shed(ticket, Reason.QUEUE_FULL) for ticket in surplus]
 
-    def _give_up(self, ticket: Ticket, reason: Reason) -> Given:
+    def _shed(self, ticket: Ticket, reason: Reason) -> ShedTicket:
         self.queue.remove(ticket)
         if reason is Reason.DEADLINE:
             self.counts.deadline += 1
         else:
             self.counts.queue_full += 1
-        return Given(ticket, self._refuse(reason))
+        return ShedTicket(ticket, self._rejection(reason))
 
-    def _refuse(self, reason: Reason) -> Refusal:
-        wait = self.wait_before(len(self.queue))
-        return Refusal(Outcome.NOT_RUN, reason, max(LEAST_RETRY_AFTER, wait))
+    def _rejection(self, reason: Reason) -> Refusal:
+        wait = self.expected_wait(len(self.queue))
+        return Refusal(Outcome.NOT_RUN, reason, max(MIN_RETRY_AFTER_SECONDS, wait))
 
     def _start(self, ticket: Ticket, now: float) -> None:
         ticket.started = now
--- a/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
@@ -23,7 +23,7 @@
     PeerLoad,
     choose,
 )
-from cornelspan_requests.admission import LEAST_RETRY_AFTER
+from cornelspan_requests.admission import MIN_RETRY_AFTER_SECONDS
 from cornelspan_requests.backend import AnswerSink
 from cornelspan_requests.endpoint import Endpoint
 from cornelspan_requests.exchange import Request
@@ -139,7 +139,7 @@
         slots = 1 if standing is Standing.PROBING else admission.slots
         waiting = len(admission.queue)
         mean = self._mean_seconds(profile)
-        urgent = admission.queue.up_to(profile.priority)
+        urgent = admission.queue.count_up_to(profile.priority)
         return OwnLoad(slots, admission.running, waiting, mean, urgent)
 
     def _mean_seconds(self, profile: Profile) -> float:
@@ -153,7 +153,7 @@
         if times.count != self.measured:
             self.measured = times.count
             self.measured_at = now
-        if not times.is_telling or now - self.measured_at > MEASURE_SECONDS:
+        if not times.is_reliable or now - self.measured_at > MEASURE_SECONDS:
             return UNMEASURED
         return times.mean / self.endpoint.ramp.share(now, profile.slow_start_seconds)
 
@@ -169,7 +169,7 @@
         self.budget.request(self.loop.time())
         tried: set[str] = set()
         moves = attempts = 0
-        refusal = Refusal(Outcome.NOT_RUN, Reason.DRAINING, LEAST_RETRY_AFTER)
+        refusal = Refusal(Outcome.NOT_RUN, Reason.DRAINING, MIN_RETRY_AFTER_SECONDS)
         urgent = request.priority <= profile.priority
         while (place := self._place(profile, tried, urgent=urgent)) is not None:
             tried.add(place)
@@ -201,7 +201,7 @@
     ) -> Result[int, Refusal]:
         """Run a request that another agent handed over; it goes no further."""
         if self.leaving:
-            leaving = Refusal(Outcome.NOT_RUN, Reason.DRAINING, LEAST_RETRY_AFTER)
+            leaving = Refusal(Outcome.NOT_RUN, Reason.DRAINING, MIN_RETRY_AFTER_SECONDS)
             return Err(leaving)
         return await self.endpoint.run(request, sink, profile)
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
@@ -18,13 +18,13 @@
 from cornelspan_common.settings import Address
 from cornelspan_control.profiles import Profile
 from cornelspan_ownership.placement import UNMEASURED
-from cornelspan_requests.admission import LEAST_RETRY_AFTER, Admission, Given
+from cornelspan_requests.admission import MIN_RETRY_AFTER_SECONDS, Admission, ShedTicket
 from cornelspan_requests.backend import AnswerSink, call
 from cornelspan_requests.exchange import Request
 from cornelspan_requests.outcomes import Outcome, Reason, Refusal
 from cornelspan_requests.queue import Ticket
-from cornelspan_requests.servicetimes import ServiceTimes
-from cornelspan_requests.slowstart import SlowStart
+from cornelspan_requests.service_times import ServiceTimes
+from cornelspan_requests.slow_start import SlowStart
 
 SERVER_ERROR = 500
 LEAST_MEASURED = 20
@@ -108,11 +108,11 @@
             size=len(request.body),
         )
         decision = self.admission.offer(ticket, profile.requests, now=now)
-        if decision.refusal is not None:
-            return Err(decision.refusal)
+        if decision.rejection is not None:
+            return Err(decision.rejection)
         if not decision.started:
             self.turns[ticket] = self.loop.create_future()
-            self._give_up(decision.given_up)
+            self._reject_shed(decision.shed)
             refusal = await self._turn(ticket)
             if refusal is not None:
                 return Err(refusal)
@@ -122,17 +122,19 @@
         """Wait for a slot; the refusal if there is none in time."""
         turn = self.turns[ticket]
         try:
-            while self.loop.time() < ticket.latest:
+            while self.loop.time() < ticket.latest_start:
                 pause = RECONSIDER_SECONDS * random.uniform(1, 2)
-                until_latest = ticket.latest - self.loop.time()
+                until_latest = ticket.latest_start - self.loop.time()
                 await asyncio.wait({turn}, timeout=min(pause, until_latest))
                 if turn.done():
                     return turn.result()
                 if self._should_move(ticket):
                     self._withdraw(ticket, turn)
-                    return Refusal(Outcome.NOT_RUN, Reason.MOVED, LEAST_RETRY_AFTER)
+                    return Refusal(
+                        Outcome.NOT_RUN, Reason.MOVED, MIN_RETRY_AFTER_SECONDS
+                    )
             self._withdraw(ticket, turn)
-            return Refusal(Outcome.NOT_RUN, Reason.DEADLINE, LEAST_RETRY_AFTER)
+            return Refusal(Outcome.NOT_RUN, Reason.DEADLINE, MIN_RETRY_AFTER_SECONDS)
         except asyncio.CancelledError:
             self._withdraw(ticket, turn)
             raise
@@ -170,12 +172,12 @@
         started = self.admission.finish(ticket, now=now, measured=measured)
         for next_ticket in started:
             self._resolve(next_ticket, None)
-        self._give_up(self.admission.sweep(now))
+        self._reject_shed(self.admission.shed_late(now))
 
-    def _give_up(self, given_up: Iterable[Given]) -> None:
+    def _reject_shed(self, shed: Iterable[ShedTicket]) -> None:
         """Tell those given up at once, so that their callers can go elsewhere."""
-        for given in given_up:
-            self._resolve(given.ticket, given.refusal)
+        for dropped in shed:
+            self._resolve(dropped.ticket, dropped.rejection)
 
     def _resolve(self, ticket: Ticket, refusal: Refusal | None) -> None:
         turn = self.turns.get(ticket)
--- a/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
@@ -31,7 +31,7 @@
 from cornelspan_control.members import Members
 from cornelspan_control.profiles import Profile
 from cornelspan_ownership.placement import OwnLoad
-from cornelspan_requests.admission import LEAST_RETRY_AFTER, Admission
+from cornelspan_requests.admission import MIN_RETRY_AFTER_SECONDS, Admission
 from cornelspan_requests.backend import AnswerSink
 from cornelspan_requests.claims import Claims
 from cornelspan_requests.dispatch import Dispatch, Peers
@@ -56,7 +56,7 @@
     Reason,
     Refusal,
 )
-from cornelspan_requests.slowstart import SlowStart
+from cornelspan_requests.slow_start import SlowStart
 
 __all__ = ["Gateway", "Peers", "gateway"]
 
@@ -254,7 +254,7 @@
             return Err(Refusal(Outcome.NOT_RUN, Reason.TOO_LARGE))
         if over:
             reason = Reason.CONNECTIONS
-            return Err(Refusal(Outcome.NOT_RUN, reason, LEAST_RETRY_AFTER))
+            return Err(Refusal(Outcome.NOT_RUN, reason, MIN_RETRY_AFTER_SECONDS))
         if not is_guarded(request):
             return await self.dispatch.serve(request, answer, profile)
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/keyed.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/keyed.py
@@ -8,7 +8,7 @@
 
 from cornelspan_common.requests import KeptAnswer, KeyRecord
 from cornelspan_common.tasks import Tasks
-from cornelspan_requests.admission import LEAST_RETRY_AFTER
+from cornelspan_requests.admission import MIN_RETRY_AFTER_SECONDS
 from cornelspan_requests.claims import Claims, Granted, Known, NoQuorum
 from cornelspan_requests.exchange import Answer, Request
 from cornelspan_requests.keys import KeyState, fingerprint_of, key_digest
@@ -102,7 +102,9 @@
         case Known(record, holder_gone):
             return await _repeat(answer, record, fingerprint, holder_gone)
         case NoQuorum():
-            unknown = Refusal(Outcome.UNKNOWN, Reason.NO_QUORUM, LEAST_RETRY_AFTER)
+            unknown = Refusal(
+                Outcome.UNKNOWN, Reason.NO_QUORUM, MIN_RETRY_AFTER_SECONDS
+            )
             return Err(unknown)
 
 
@@ -136,7 +138,7 @@
     if record.fingerprint != fingerprint:
         return Err(Refusal(Outcome.NOT_RUN, Reason.KEY_REUSED))
     if record.state == KeyState.CLAIMED and not holder_gone:
-        busy = Refusal(Outcome.UNKNOWN, Reason.KEY_BUSY, LEAST_RETRY_AFTER)
+        busy = Refusal(Outcome.UNKNOWN, Reason.KEY_BUSY, MIN_RETRY_AFTER_SECONDS)
         return Err(busy)
     if record.state != KeyState.DONE:
         return Err(Refusal(Outcome.UNKNOWN, Reason.KEY_LOST))
--- a/packages/cornelspan-requests/src/cornelspan_requests/queue.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/queue.py
@@ -11,14 +11,14 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Place:
+class QueuePosition:
     """Where a request stands; the least goes first.
 
     Times are seconds of the clock that the owner of the queue goes by.
     """
 
     priority: int
-    crowding: int
+    caller_load: int
     deadline: float
     number: int
 
@@ -27,7 +27,7 @@
 class Ticket:
     """One request that asks for a slot.
 
-    ``latest`` is when it must have a slot so as to end by its deadline.
+    ``latest_start`` is when it must have a slot so as to end by its deadline.
     """
 
     caller: str
@@ -35,8 +35,8 @@
     deadline: float
     arrived: float
     size: int = 0
-    place: Place = field(default=Place(0, 0, 0.0, 0))
-    latest: float = 0.0
+    position: QueuePosition = field(default=QueuePosition(0, 0, 0.0, 0))
+    latest_start: float = 0.0
     started: float = 0.0
 
 
@@ -47,48 +47,48 @@
     tickets: list[Ticket] = field(default_factory=list)
     callers: Counter[str] = field(default_factory=Counter)
     priorities: Counter[int] = field(default_factory=Counter)
-    held_bytes: int = 0
+    queued_bytes: int = 0
 
     def __len__(self) -> int:
         return len(self.tickets)
 
-    def ahead_of(self, place: Place) -> int:
+    def ahead_of(self, position: QueuePosition) -> int:
         """Return how many tickets go before a place."""
-        return bisect.bisect_left(self.tickets, place, key=_place)
+        return bisect.bisect_left(self.tickets, position, key=_position_of)
 
     def add(self, ticket: Ticket) -> None:
         """Put a ticket at its place."""
-        bisect.insort(self.tickets, ticket, key=_place)
+        bisect.insort(self.tickets, ticket, key=_position_of)
         self.callers[ticket.caller] += 1
         self.priorities[ticket.priority] += 1
-        self.held_bytes += ticket.size
+        self.queued_bytes += ticket.size
 
-    def up_to(self, priority: int) -> int:
+    def count_up_to(self, priority: int) -> int:
         """Return how many tickets have this priority or a better one."""
-        return sum(n for known, n in self.priorities.items() if known <= priority)
+        return sum(n for other, n in self.priorities.items() if other <= priority)
 
     def remove(self, ticket: Ticket) -> bool:
         """Take a ticket out; False if it is not in the queue."""
-        at = self.ahead_of(ticket.place)
-        if at == len(self.tickets) or self.tickets[at] is not ticket:
+        index = self.ahead_of(ticket.position)
+        if index == len(self.tickets) or self.tickets[index] is not ticket:
             return False
-        del self.tickets[at]
-        self._forget(ticket)
+        del self.tickets[index]
+        self._uncount(ticket)
         return True
 
     def pop(self) -> Ticket:
         """Take out the first ticket."""
         ticket = self.tickets.pop(0)
-        self._forget(ticket)
+        self._uncount(ticket)
         return ticket
 
-    def _forget(self, ticket: Ticket) -> None:
-        self.held_bytes -= ticket.size
+    def _uncount(self, ticket: Ticket) -> None:
+        self.queued_bytes -= ticket.size
         self.priorities[ticket.priority] -= 1
         self.callers[ticket.caller] -= 1
         if self.callers[ticket.caller] <= 0:
             del self.callers[ticket.caller]
 
 
-def _place(ticket: Ticket) -> Place:
-    return ticket.place
+def _position_of(ticket: Ticket) -> QueuePosition:
+    return ticket.position
--- a/packages/cornelspan-requests/src/cornelspan_requests/slowstart.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/slow_start.py
@@ -2,18 +2,18 @@
 
 from dataclasses import dataclass
 
-LEAST_SHARE = 0.1
+MIN_SHARE = 0.1
 
 
 @dataclass
 class SlowStart:
     """When the endpoint last began, in seconds of the clock that the owner goes by."""
 
-    began: float
+    started: float
 
     def restart(self, now: float) -> None:
         """Begin again, as after an ejection or a restart of the backend server."""
-        self.began = now
+        self.started = now
 
     def share(self, now: float, seconds: float) -> float:
         """Return the part of the full load to take now, rising in a line to 1.
@@ -24,7 +24,7 @@
         """
         if seconds <= 0:
             return 1.0
-        return min(1.0, max(LEAST_SHARE, (now - self.began) / seconds))
+        return min(1.0, max(MIN_SHARE, (now - self.started) / seconds))
 
     def slots(self, now: float, seconds: float, slots: int) -> int:
         """Return how many slots may be used now, at least one."""
--- a/packages/cornelspan-standins/src/cornelspan_standins/_requests_run.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_requests_run.py
@@ -175,13 +175,13 @@
         priority = job.stream.priority
         ticket = Ticket(job.caller, priority, deadline, self.now)
         decision = site.admission.offer(ticket, self.case.policy, now=self.now)
-        if decision.refusal is not None:
-            return decision.refusal
+        if decision.rejection is not None:
+            return decision.rejection
         site.jobs[ticket] = job
         if decision.started:
             self._start(site, ticket, owner)
-        for given in decision.given_up:
-            self._give_up(site, given.ticket, given.refusal)
+        for given in decision.shed:
+            self._give_up(site, given.ticket, given.rejection)
         return None
 
     def _give_up(self, site: Site, ticket: Ticket, refusal: Refusal) -> None:
@@ -201,8 +201,8 @@
         self._count(job, self.now - ticket.started)
         for started in site.admission.finish(ticket, now=self.now):
             self._start(site, started, owner)
-        for given in site.admission.sweep(self.now):
-            self._give_up(site, given.ticket, given.refusal)
+        for given in site.admission.shed_late(self.now):
+            self._give_up(site, given.ticket, given.rejection)
 
     def _count(self, job: Job, elapsed: float) -> None:
         """Count a job that has ended after holding a slot for some time."""
@@ -280,6 +280,6 @@
 def _own_load(site: Site) -> OwnLoad:
     admission = site.admission
     waiting = len(admission.queue)
-    urgent = admission.queue.up_to(TOP_PRIORITY)
+    urgent = admission.queue.count_up_to(TOP_PRIORITY)
     mean = admission.times.mean
     return OwnLoad(SLOTS, admission.running, waiting, mean, urgent)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -3,7 +3,7 @@
 from hypothesis import given, strategies as st
 
 from cornelspan_control.profiles import RequestPolicy
-from cornelspan_requests.admission import QUEUE_BYTES, Admission
+from cornelspan_requests.admission import MAX_QUEUED_BYTES, Admission
 from cornelspan_requests.outcomes import Outcome, Reason
 from cornelspan_requests.queue import Ticket
 
@@ -36,15 +36,15 @@
         if action == "offer":
             new = Ticket(caller, priority, now + window, now)
             decision = admission.offer(new, POLICY, now=now)
-            if decision.refusal is not None:
+            if decision.rejection is not None:
                 ended.append(new)
-                assert decision.refusal.outcome is Outcome.NOT_RUN
-                assert decision.refusal.retry_after >= 1
+                assert decision.rejection.outcome is Outcome.NOT_RUN
+                assert decision.rejection.retry_after >= 1
             else:
                 (running if decision.started else waiting).append(new)
-            for given_up in decision.given_up:
-                waiting.remove(given_up.ticket)
-                ended.append(given_up.ticket)
+            for dropped in decision.shed:
+                waiting.remove(dropped.ticket)
+                ended.append(dropped.ticket)
         elif action == "finish" and running:
             done = running.pop(0)
             ended.append(done)
@@ -59,8 +59,10 @@
         assert sorted(map(id, admission.queue.tickets)) == sorted(map(id, waiting))
         assert len(waiting) <= POLICY.queue
         assert not waiting or len(running) == slots
-        places = [waiting_ticket.place for waiting_ticket in admission.queue.tickets]
-        assert places == sorted(places)
+        positions = [
+            waiting_ticket.position for waiting_ticket in admission.queue.tickets
+        ]
+        assert positions == sorted(positions)
         if action == "offer" and new in waiting:
             own = sum(t.caller == new.caller for t in waiting)
             assert own <= 2 or own == len(waiting)
@@ -71,12 +73,12 @@
     admission = Admission(1)
     admission.offer(ticket("hall"), POLICY, now=0.0)
     for _ in range(POLICY.queue):
-        assert admission.offer(ticket("hall"), POLICY, now=0.0).refusal is None
+        assert admission.offer(ticket("hall"), POLICY, now=0.0).rejection is None
     decision = admission.offer(ticket("phone"), POLICY, now=0.0)
-    assert [given.ticket.caller for given in decision.given_up] == ["hall"]
+    assert [dropped.ticket.caller for dropped in decision.shed] == ["hall"]
     assert admission.queue.tickets[0].caller == "phone"
     over = admission.offer(ticket("hall"), POLICY, now=0.0)
-    assert over.refusal.reason is Reason.CALLER_SHARE
+    assert over.rejection.reason is Reason.CALLER_SHARE
 
 
 def full(policy=POLICY, *, priority=5):
@@ -89,22 +91,22 @@
 
 def test_better_priority_pushes_the_last_out_at_once():
     decision = full().offer(ticket("z", 0), POLICY, now=0.0)
-    assert decision.refusal is None
-    (given_up,) = decision.given_up
-    assert given_up.refusal.reason is Reason.QUEUE_FULL
-    assert given_up.ticket.priority == 5
+    assert decision.rejection is None
+    (dropped,) = decision.shed
+    assert dropped.rejection.reason is Reason.QUEUE_FULL
+    assert dropped.ticket.priority == 5
 
 
 def test_no_better_request_is_refused_when_full():
     decision = full(priority=0).offer(ticket("z", 5), POLICY, now=0.0)
-    assert decision.refusal.reason is Reason.QUEUE_FULL
+    assert decision.rejection.reason is Reason.QUEUE_FULL
 
 
 def test_deadline_that_cannot_be_met_is_refused_before_it_waits():
     admission = full()
     admission.times.mean = 1.0
     decision = admission.offer(ticket("z", 9, deadline=3.0), POLICY, now=0.0)
-    assert decision.refusal.reason is Reason.DEADLINE
+    assert decision.rejection.reason is Reason.DEADLINE
 
 
 def test_crowding_goes_before_deadline():
@@ -121,5 +123,5 @@
 def test_bodies_in_the_queue_are_bounded():
     admission = Admission(1)
     admission.offer(ticket(), POLICY, now=0.0)
-    big = ticket("b", size=QUEUE_BYTES + 1)
-    assert admission.offer(big, POLICY, now=0.0).refusal.reason is Reason.QUEUE_FULL
+    big = ticket("b", size=MAX_QUEUED_BYTES + 1)
+    assert admission.offer(big, POLICY, now=0.0).rejection.reason is Reason.QUEUE_FULL
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -13,7 +13,7 @@
 from cornelspan_control.profiles import RetryPolicy
 from cornelspan_requests.outcomes import Outcome, Reason, Refusal
 from cornelspan_requests.retries import RetryBudget, is_repeatable, pause_before
-from cornelspan_requests.slowstart import SlowStart
+from cornelspan_requests.slow_start import SlowStart
 
 POLICY = EjectionPolicy(failures=3, seconds=10.0, share_limit=0.34)
 
