--- a/packages/cornelspan-daemon/src/cornelspan_daemon/main.py
+++ b/packages/cornelspan-daemon/src/cornelspan_daemon/main.py
@@ -53,7 +53,7 @@
             case Ok(settings):
                 return run_secured(settings, run_balancer)
             case Err(error):
-                return refuse(str(error))
+                return report_error(str(error))
 
 
 @cappa.command(name="agent", help="Run an agent beside one backend server.")
@@ -72,7 +72,7 @@
             case Ok(settings):
                 return run_secured(settings, run_agent)
             case Err(error):
-                return refuse(str(error))
+                return report_error(str(error))
 
 
 @cappa.command(name="check", help="Check a settings file; exit 2 if it is refused.")
@@ -93,7 +93,7 @@
                 print(f"{self.settings}: good settings of a {self.role}")
                 return 0
             case Err(error):
-                return refuse(str(error))
+                return report_error(str(error))
 
 
 @cappa.command(name="cornelspand", help="The daemons of cornelspan.")
@@ -113,10 +113,10 @@
             asyncio.run(run(settings, tls))
             return 0
         case Err(error):
-            return refuse(str(error))
+            return report_error(str(error))
 
 
-def refuse(reason: str) -> int:
+def report_error(reason: str) -> int:
     """Say why settings are refused and return the exit code."""
     print(reason, file=sys.stderr)
     return BAD_SETTINGS
--- a/packages/cornelspan-requests/src/cornelspan_requests/admission.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/admission.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from cornelspan_control.profiles import RequestPolicy
-from cornelspan_requests.outcomes import Outcome, Reason, Refusal
+from cornelspan_requests.outcomes import Failure, Reason, RequestOutcome
 from cornelspan_requests.queue import QueuePosition, RequestQueue, Ticket
 from cornelspan_requests.service_times import ServiceTimes
 
@@ -24,7 +24,7 @@
     """A waiting ticket that is given up, and what its caller is told, at once."""
 
     ticket: Ticket
-    rejection: Refusal
+    rejection: Failure
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
     """
 
     started: bool = False
-    rejection: Refusal | None = None
+    rejection: Failure | None = None
     shed: tuple[ShedTicket, ...] = ()
 
 
@@ -154,7 +154,7 @@
 
     def _check_rejection(
         self, ticket: Ticket, policy: RequestPolicy, now: float
-    ) -> Refusal | None:
+    ) -> Failure | None:
         ahead = self.queue.ahead_of(ticket.position)
         if now + self.expected_wait(ahead) > ticket.latest_start:
             self.counts.deadline += 1
@@ -194,9 +194,11 @@
             self.counts.queue_full += 1
         return ShedTicket(ticket, self._rejection(reason))
 
-    def _rejection(self, reason: Reason) -> Refusal:
+    def _rejection(self, reason: Reason) -> Failure:
         wait = self.expected_wait(len(self.queue))
-        return Refusal(Outcome.NOT_RUN, reason, max(MIN_RETRY_AFTER_SECONDS, wait))
+        return Failure(
+            RequestOutcome.NOT_RUN, reason, max(MIN_RETRY_AFTER_SECONDS, wait)
+        )
 
     def _start(self, ticket: Ticket, now: float) -> None:
         ticket.started = now
--- a/packages/cornelspan-requests/src/cornelspan_requests/backend.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/backend.py
@@ -27,9 +27,9 @@
     NOT_RUN_HEADER,
     OUTCOME_HEADER,
     AnswerHead,
-    Outcome,
+    Failure,
     Reason,
-    Refusal,
+    RequestOutcome,
 )
 
 SHED_STATUS = 503
@@ -74,7 +74,7 @@
             return
         if self.unframed:
             return
-        headers[OUTCOME_HEADER] = Outcome.RAN.value
+        headers[OUTCOME_HEADER] = RequestOutcome.RAN.value
         head = AnswerHead(start_line.code, start_line.reason, end_to_end(headers))
         self.begun = True
         self.caller_gone = not await self.sink.start(head)
@@ -99,7 +99,7 @@
 
 async def call(
     request: Request, server: Address, sink: AnswerSink, *, answer_bytes: int
-) -> Result[int, Refusal]:
+) -> Result[int, Failure]:
     """Run a request at the backend server and pass the answer to a sink.
 
     Args:
@@ -115,18 +115,18 @@
     loop = asyncio.get_running_loop()
     remaining = request.deadline - loop.time()
     if remaining <= 0:
-        return Err(Refusal(Outcome.NOT_RUN, Reason.DEADLINE))
+        return Err(Failure(RequestOutcome.NOT_RUN, Reason.DEADLINE))
     try:
         stream = await asyncio.wait_for(
             TCPClient().connect(server.host, server.port), remaining
         )
     except (OSError, StreamClosedError, TimeoutError):
-        return Err(Refusal(Outcome.NOT_RUN, Reason.REFUSED))
+        return Err(Failure(RequestOutcome.NOT_RUN, Reason.REFUSED))
     try:
         async with asyncio.timeout_at(request.deadline):
             return await _exchange(stream, request, sink, answer_bytes)
     except TimeoutError:
-        return Err(Refusal(Outcome.UNKNOWN, Reason.DEADLINE))
+        return Err(Failure(RequestOutcome.UNKNOWN, Reason.DEADLINE))
     finally:
         # Closing is also how the server learns that a request is cancelled.
         stream.close()
@@ -134,7 +134,7 @@
 
 async def _exchange(
     stream: IOStream, request: Request, sink: AnswerSink, answer_bytes: int
-) -> Result[int, Refusal]:
+) -> Result[int, Failure]:
     parameters = HTTP1ConnectionParameters(
         no_keep_alive=True, max_body_size=answer_bytes
     )
@@ -150,12 +150,12 @@
     except StreamClosedError:
         pass
     if reading.caller_gone:
-        return Err(Refusal(Outcome.UNKNOWN, Reason.CANCELLED))
+        return Err(Failure(RequestOutcome.UNKNOWN, Reason.CANCELLED))
     if reading.shed:
-        refusal = Refusal(Outcome.NOT_RUN, Reason.SHED, reading.retry_after)
-        return Err(refusal)
+        failure = Failure(RequestOutcome.NOT_RUN, Reason.SHED, reading.retry_after)
+        return Err(failure)
     if not reading.whole or reading.unframed:
-        return Err(Refusal(Outcome.UNKNOWN, Reason.BROKEN))
+        return Err(Failure(RequestOutcome.UNKNOWN, Reason.BROKEN))
     return Ok(reading.status)
 
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
@@ -28,7 +28,7 @@
 from cornelspan_requests.endpoint import Endpoint
 from cornelspan_requests.exchange import Request
 from cornelspan_requests.handoff import Handoffs
-from cornelspan_requests.outcomes import Outcome, Reason, Refusal
+from cornelspan_requests.outcomes import Failure, Reason, RequestOutcome
 from cornelspan_requests.retries import Draw, RetryBudget, is_repeatable, pause_before
 
 MOST_MOVES = 2
@@ -159,7 +159,7 @@
 
     async def serve(
         self, request: Request, sink: TrackedSink, profile: Profile
-    ) -> Result[int, Refusal]:
+    ) -> Result[int, Failure]:
         """Run a request where it is best placed, and elsewhere if it comes to nothing.
 
         Returns:
@@ -169,39 +169,46 @@
         self.budget.request(self.loop.time())
         tried: set[str] = set()
         moves = attempts = 0
-        refusal = Refusal(Outcome.NOT_RUN, Reason.DRAINING, MIN_RETRY_AFTER_SECONDS)
+        failure = Failure(
+            RequestOutcome.NOT_RUN, Reason.DRAINING, MIN_RETRY_AFTER_SECONDS
+        )
         urgent = request.priority <= profile.priority
         while (place := self._place(profile, tried, urgent=urgent)) is not None:
             tried.add(place)
             match await self._run(place, request, sink, profile):
                 case Ok(status):
                     return Ok(status)
-                case Err(refusal):
+                case Err(failure):
                     pass
-            if sink.begun or not is_repeatable(request.method, refusal):
+            if sink.begun or not is_repeatable(request.method, failure):
                 break
-            if refusal.reason is Reason.MOVED:
+            if failure.reason is Reason.MOVED:
                 # It waited there while another had a slot free; all are open again.
                 tried.clear()
                 continue
-            if refusal.reason in TURNED_AWAY and refusal.outcome is Outcome.NOT_RUN:
+            if (
+                failure.reason in TURNED_AWAY
+                and failure.outcome is RequestOutcome.NOT_RUN
+            ):
                 moves += 1
                 if moves > MOST_MOVES:
                     break
                 continue
             attempts += 1
-            if not await self._may_retry(attempts, request, refusal, profile):
+            if not await self._may_retry(attempts, request, failure, profile):
                 break
             if self._place(profile, tried, urgent=urgent) is None:
                 tried.clear()
-        return Err(refusal)
+        return Err(failure)
 
     async def run_for_peer(
         self, request: Request, sink: AnswerSink, profile: Profile
-    ) -> Result[int, Refusal]:
+    ) -> Result[int, Failure]:
         """Run a request that another agent handed over; it goes no further."""
         if self.leaving:
-            leaving = Refusal(Outcome.NOT_RUN, Reason.DRAINING, MIN_RETRY_AFTER_SECONDS)
+            leaving = Failure(
+                RequestOutcome.NOT_RUN, Reason.DRAINING, MIN_RETRY_AFTER_SECONDS
+            )
             return Err(leaving)
         return await self.endpoint.run(request, sink, profile)
 
@@ -216,7 +223,7 @@
 
     async def _run(
         self, place: str, request: Request, sink: TrackedSink, profile: Profile
-    ) -> Result[int, Refusal]:
+    ) -> Result[int, Failure]:
         if place == HERE:
             self.counts.here += 1
             return await self.endpoint.run(request, sink, profile)
@@ -228,11 +235,11 @@
         return await self.handoffs.send(place, request, sink)
 
     async def _may_retry(
-        self, attempts: int, request: Request, refusal: Refusal, profile: Profile
+        self, attempts: int, request: Request, failure: Failure, profile: Profile
     ) -> bool:
         """Spend a retry and pause; False if there is none, or no time for it."""
         now = self.loop.time()
-        if refusal.reason in (Reason.CALLER_SHARE, Reason.CANCELLED):
+        if failure.reason in (Reason.CALLER_SHARE, Reason.CANCELLED):
             return False
         if attempts >= profile.retry.attempts:
             return False
--- a/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
@@ -21,7 +21,7 @@
 from cornelspan_requests.admission import MIN_RETRY_AFTER_SECONDS, Admission, ShedTicket
 from cornelspan_requests.backend import AnswerSink, call
 from cornelspan_requests.exchange import Request
-from cornelspan_requests.outcomes import Outcome, Reason, Refusal
+from cornelspan_requests.outcomes import Failure, Reason, RequestOutcome
 from cornelspan_requests.queue import Ticket
 from cornelspan_requests.service_times import ServiceTimes
 from cornelspan_requests.slow_start import SlowStart
@@ -31,7 +31,7 @@
 RECONSIDER_SECONDS = 0.1
 
 log = get_log(__name__)
-Ask = Callable[[Request, AnswerSink], Awaitable[Result[int, Refusal]]]
+Ask = Callable[[Request, AnswerSink], Awaitable[Result[int, Failure]]]
 PeerLoads = Callable[[], Iterable[Load]]
 
 
@@ -64,10 +64,10 @@
 
     async def run(
         self, request: Request, sink: AnswerSink, profile: Profile
-    ) -> Result[int, Refusal]:
+    ) -> Result[int, Failure]:
         """Get a slot for a request, run it, and judge the endpoint by it."""
-        if (refusal := self._turn_away(profile)) is not None:
-            return Err(refusal)
+        if (failure := self._turn_away(profile)) is not None:
+            return Err(failure)
         probing = self.standing() is Standing.PROBING
         self.judgement.probing += probing
         try:
@@ -86,18 +86,18 @@
             self.judgement.readmit()
             log.warning("endpoint readmitted", extra={"why": "too many are out"})
 
-    def _turn_away(self, profile: Profile) -> Refusal | None:
+    def _turn_away(self, profile: Profile) -> Failure | None:
         """Refuse while the endpoint is ejected, but for one probe at a time."""
         standing = self.standing()
         probed = standing is Standing.PROBING and self.judgement.probing
         if standing is Standing.OUT or probed:
             left = self.judgement.ejected_until - self.loop.time()
-            return Refusal(Outcome.NOT_RUN, Reason.EJECTED, max(1.0, left))
+            return Failure(RequestOutcome.NOT_RUN, Reason.EJECTED, max(1.0, left))
         return None
 
     async def _admit(
         self, request: Request, sink: AnswerSink, profile: Profile
-    ) -> Result[int, Refusal]:
+    ) -> Result[int, Failure]:
         now = self.loop.time()
         self._warm_up(profile, now)
         ticket = Ticket(
@@ -113,12 +113,12 @@
         if not decision.started:
             self.turns[ticket] = self.loop.create_future()
             self._reject_shed(decision.shed)
-            refusal = await self._turn(ticket)
-            if refusal is not None:
-                return Err(refusal)
+            failure = await self._turn(ticket)
+            if failure is not None:
+                return Err(failure)
         return await self._hold_slot(ticket, request, sink, profile)
 
-    async def _turn(self, ticket: Ticket) -> Refusal | None:
+    async def _turn(self, ticket: Ticket) -> Failure | None:
         """Wait for a slot; the refusal if there is none in time."""
         turn = self.turns[ticket]
         try:
@@ -130,11 +130,13 @@
                     return turn.result()
                 if self._should_move(ticket):
                     self._withdraw(ticket, turn)
-                    return Refusal(
-                        Outcome.NOT_RUN, Reason.MOVED, MIN_RETRY_AFTER_SECONDS
+                    return Failure(
+                        RequestOutcome.NOT_RUN, Reason.MOVED, MIN_RETRY_AFTER_SECONDS
                     )
             self._withdraw(ticket, turn)
-            return Refusal(Outcome.NOT_RUN, Reason.DEADLINE, MIN_RETRY_AFTER_SECONDS)
+            return Failure(
+                RequestOutcome.NOT_RUN, Reason.DEADLINE, MIN_RETRY_AFTER_SECONDS
+            )
         except asyncio.CancelledError:
             self._withdraw(ticket, turn)
             raise
@@ -158,7 +160,7 @@
 
     async def _hold_slot(
         self, ticket: Ticket, request: Request, sink: AnswerSink, profile: Profile
-    ) -> Result[int, Refusal]:
+    ) -> Result[int, Failure]:
         measured = False
         try:
             result = await self.ask(request, sink)
@@ -179,15 +181,15 @@
         for dropped in shed:
             self._resolve(dropped.ticket, dropped.rejection)
 
-    def _resolve(self, ticket: Ticket, refusal: Refusal | None) -> None:
+    def _resolve(self, ticket: Ticket, failure: Failure | None) -> None:
         turn = self.turns.get(ticket)
         if turn is not None and not turn.done():
-            turn.set_result(refusal)
-        elif refusal is None:
+            turn.set_result(failure)
+        elif failure is None:
             # Its caller went away in this very turn of the loop; the slot goes on.
             self._free(ticket, measured=False)
 
-    def _judge(self, result: Result[int, Refusal], profile: Profile) -> bool:
+    def _judge(self, result: Result[int, Failure], profile: Profile) -> bool:
         """Judge the endpoint by one result.
 
         Returns:
@@ -198,9 +200,9 @@
             case Ok(status) if status < SERVER_ERROR:
                 self._succeeded(profile, now)
                 return True
-            case Err(Refusal(reason=Reason.CANCELLED)):
+            case Err(Failure(reason=Reason.CANCELLED)):
                 return False
-            case Err(Refusal(reason=reason)):
+            case Err(Failure(reason=reason)):
                 self._failed(profile, now)
                 return reason is Reason.DEADLINE
         self._failed(profile, now)
@@ -269,7 +271,7 @@
         peer_loads: Loads of the service's other endpoints.
     """
 
-    async def ask(request: Request, sink: AnswerSink) -> Result[int, Refusal]:
+    async def ask(request: Request, sink: AnswerSink) -> Result[int, Failure]:
         return await call(request, server, sink, answer_bytes=answer_bytes())
 
     return Endpoint(admission, ramp, ask, peer_loads)
--- a/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
@@ -19,7 +19,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from cornelspan_common.logs import get_log
-from cornelspan_requests.outcomes import AnswerHead, Refusal, refusal_head
+from cornelspan_requests.outcomes import AnswerHead, Failure, failure_head
 
 HEADER_BYTES = 65536
 HOP_HEADERS = frozenset(
@@ -116,13 +116,13 @@
             log.warning("answer cut", extra={"reason": reason})
         self.connection.close()
 
-    async def refuse(self, refusal: Refusal) -> None:
+    async def send_failure(self, failure: Failure) -> None:
         """Answer in the agent's own name, or cut an answer that has begun."""
         if self.begun:
-            self.cut(f"{refusal.outcome.value}: {refusal.reason.value}")
+            self.cut(f"{failure.outcome.value}: {failure.reason.value}")
             return
-        text = f"{refusal.outcome}: {refusal.reason}\n".encode()
-        await self.start(refusal_head(refusal, length=len(text)))
+        text = f"{failure.outcome}: {failure.reason}\n".encode()
+        await self.start(failure_head(failure, length=len(text)))
         await self.write(text)
         self.finish()
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
@@ -48,13 +48,13 @@
 from cornelspan_requests.keyed import KeptSink, is_guarded, serve_keyed
 from cornelspan_requests.objectives import ObjectiveCounts
 from cornelspan_requests.outcomes import (
-    CALLERS_OWN,
+    CALLER_FAULTS,
     DEADLINE_HEADER,
     KEY_HEADER,
     PRIORITY_HEADER,
-    Outcome,
+    Failure,
     Reason,
-    Refusal,
+    RequestOutcome,
 )
 from cornelspan_requests.slow_start import SlowStart
 
@@ -230,9 +230,9 @@
             case Ok(status):
                 answer.finish()
                 succeeded = status < SERVER_ERROR
-            case Err(refusal):
-                await answer.refuse(refusal)
-                if refusal.reason in CALLERS_OWN:
+            case Err(failure):
+                await answer.send_failure(failure)
+                if failure.reason in CALLER_FAULTS:
                     return
                 succeeded = False
         self.objectives.record(
@@ -249,16 +249,16 @@
         profile: Profile,
         *,
         over: bool,
-    ) -> Result[int, Refusal]:
+    ) -> Result[int, Failure]:
         if incoming.too_large:
-            return Err(Refusal(Outcome.NOT_RUN, Reason.TOO_LARGE))
+            return Err(Failure(RequestOutcome.NOT_RUN, Reason.TOO_LARGE))
         if over:
             reason = Reason.CONNECTIONS
-            return Err(Refusal(Outcome.NOT_RUN, reason, MIN_RETRY_AFTER_SECONDS))
+            return Err(Failure(RequestOutcome.NOT_RUN, reason, MIN_RETRY_AFTER_SECONDS))
         if not is_guarded(request):
             return await self.dispatch.serve(request, answer, profile)
 
-        async def serve(request: Request, sink: KeptSink) -> Result[int, Refusal]:
+        async def serve(request: Request, sink: KeptSink) -> Result[int, Failure]:
             return await self.dispatch.serve(request, sink, profile)
 
         self._observe_members()
@@ -266,7 +266,7 @@
 
     async def _run_for_peer(
         self, request: Request, sink: AnswerSink
-    ) -> Result[int, Refusal]:
+    ) -> Result[int, Failure]:
         return await self.dispatch.run_for_peer(request, sink, self.profile)
 
     def _peer_loads(self) -> list[Load]:
--- a/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
@@ -27,14 +27,14 @@
 from cornelspan_common.tasks import Tasks
 from cornelspan_requests.backend import AnswerSink
 from cornelspan_requests.exchange import Request
-from cornelspan_requests.outcomes import AnswerHead, Outcome, Reason, Refusal
+from cornelspan_requests.outcomes import AnswerHead, Failure, Reason, RequestOutcome
 
 PART_BYTES = 65536
 WINDOW_BYTES = 262144
 GRACE_SECONDS = 0.25
 
 Send = Callable[[str, Message], bool]
-Run = Callable[[Request, AnswerSink], Awaitable[Result[int, Refusal]]]
+Run = Callable[[Request, AnswerSink], Awaitable[Result[int, Failure]]]
 Back = AnswerStart | AnswerPart | AnswerFailed | None
 
 
@@ -118,7 +118,7 @@
 
     async def send(
         self, name: str, request: Request, sink: AnswerSink
-    ) -> Result[int, Refusal]:
+    ) -> Result[int, Failure]:
         """Have another agent run a request, and pass its answer to a sink."""
         self.number += 1
         number = self.number
@@ -128,13 +128,13 @@
         try:
             if not await self._send_request(name, number, request):
                 # The receiver runs nothing before the last part, which never left.
-                return Err(Refusal(Outcome.NOT_RUN, Reason.REFUSED))
+                return Err(Failure(RequestOutcome.NOT_RUN, Reason.REFUSED))
             async with asyncio.timeout_at(request.deadline + GRACE_SECONDS):
                 result = await self._pass_answer(outgoing, number, sink)
                 settled = True
                 return result
         except TimeoutError:
-            return Err(Refusal(Outcome.UNKNOWN, Reason.DEADLINE))
+            return Err(Failure(RequestOutcome.UNKNOWN, Reason.DEADLINE))
         finally:
             del self.outgoing[number]
             if not settled:
@@ -194,20 +194,22 @@
 
     async def _pass_answer(
         self, outgoing: Outgoing, number: int, sink: AnswerSink
-    ) -> Result[int, Refusal]:
+    ) -> Result[int, Failure]:
         status = passed = 0
         while True:
             wanted = True
             match await outgoing.back.get():
                 case None:
-                    return Err(Refusal(Outcome.UNKNOWN, Reason.BROKEN))
+                    return Err(Failure(RequestOutcome.UNKNOWN, Reason.BROKEN))
                 case AnswerFailed(_, outcome, reason, retry_after):
-                    told = Refusal(Outcome(outcome), Reason(reason), retry_after)
-                    return Err(told)
+                    failure = Failure(
+                        RequestOutcome(outcome), Reason(reason), retry_after
+                    )
+                    return Err(failure)
                 case AnswerStart(_, status, reason, headers):
                     wanted = await sink.start(AnswerHead(status, reason, headers))
                 case AnswerPart(offset=offset) if offset != passed or not status:
-                    return Err(Refusal(Outcome.UNKNOWN, Reason.BROKEN))
+                    return Err(Failure(RequestOutcome.UNKNOWN, Reason.BROKEN))
                 case AnswerPart(body=body, last=last):
                     passed += len(body)
                     wanted = await sink.write(body)
@@ -216,7 +218,7 @@
                     self.send_message(outgoing.name, AnswerTaken(number, len(body)))
             if not wanted:
                 self.send_message(outgoing.name, RequestCancel(number))
-                return Err(Refusal(Outcome.UNKNOWN, Reason.CANCELLED))
+                return Err(Failure(RequestOutcome.UNKNOWN, Reason.CANCELLED))
 
     def _take_part(self, sender: str, part: RequestPart) -> None:
         incoming = self.incoming.get((sender, part.number))
@@ -232,7 +234,7 @@
         elif part.last or not in_order or len(incoming.body) > incoming.start.length:
             # A part went down with a stream. Run short, it would be another request.
             del self.incoming[sender, part.number]
-            self._fail(incoming, Refusal(Outcome.NOT_RUN, Reason.BROKEN))
+            self._fail(incoming, Failure(RequestOutcome.NOT_RUN, Reason.BROKEN))
 
     async def _run(self, incoming: Incoming) -> None:
         try:
@@ -240,17 +242,17 @@
             match result:
                 case Ok(_):
                     incoming.end_answer()
-                case Err(refusal):
-                    self._fail(incoming, refusal)
+                case Err(failure):
+                    self._fail(incoming, failure)
         finally:
             self.incoming.pop((incoming.sender, incoming.start.number), None)
 
-    def _fail(self, incoming: Incoming, refusal: Refusal) -> None:
+    def _fail(self, incoming: Incoming, failure: Failure) -> None:
         message = AnswerFailed(
             incoming.start.number,
-            refusal.outcome.value,
-            refusal.reason.value,
-            refusal.retry_after,
+            failure.outcome.value,
+            failure.reason.value,
+            failure.retry_after,
         )
         self.send_message(incoming.sender, message)
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/keyed.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/keyed.py
@@ -15,16 +15,16 @@
 from cornelspan_requests.outcomes import (
     REPLAYED_HEADER,
     AnswerHead,
-    Outcome,
+    Failure,
     Reason,
-    Refusal,
+    RequestOutcome,
 )
 from cornelspan_requests.retries import IDEMPOTENT_METHODS
 
 KEPT_BYTES = 16384
 LONGEST_KEY = 255
 
-Serve = Callable[[Request, "KeptSink"], Awaitable[Result[int, Refusal]]]
+Serve = Callable[[Request, "KeptSink"], Awaitable[Result[int, Failure]]]
 
 
 @dataclass
@@ -81,7 +81,7 @@
     claims: Claims,
     serve: Serve,
     tasks: Tasks,
-) -> Result[int, Refusal]:
+) -> Result[int, Failure]:
     """Run a request if its key has not run, else answer by what has become of it.
 
     Args:
@@ -92,7 +92,7 @@
         tasks: Holds the run, which goes on when the caller goes away.
     """
     if len(request.key) > LONGEST_KEY:
-        return Err(Refusal(Outcome.NOT_RUN, Reason.TOO_LARGE))
+        return Err(Failure(RequestOutcome.NOT_RUN, Reason.TOO_LARGE))
     fingerprint = fingerprint_of(request.method, request.target, request.body)
     key = key_digest(request.key)
     match await claims.claim(key, fingerprint, request.deadline):
@@ -102,15 +102,15 @@
         case Known(record, holder_gone):
             return await _repeat(answer, record, fingerprint, holder_gone)
         case NoQuorum():
-            unknown = Refusal(
-                Outcome.UNKNOWN, Reason.NO_QUORUM, MIN_RETRY_AFTER_SECONDS
+            unknown = Failure(
+                RequestOutcome.UNKNOWN, Reason.NO_QUORUM, MIN_RETRY_AFTER_SECONDS
             )
             return Err(unknown)
 
 
 async def _run(
     request: Request, answer: Answer, claims: Claims, claim: KeyRecord, serve: Serve
-) -> Result[int, Refusal]:
+) -> Result[int, Failure]:
     """Run under a claim, and tell all others how it ended."""
     sink = KeptSink(answer)
     state = KeyState.UNKNOWN
@@ -121,7 +121,7 @@
             case Ok(_):
                 state = KeyState.DONE
                 kept = sink.kept()
-            case Err(Refusal(outcome=Outcome.NOT_RUN)):
+            case Err(Failure(outcome=RequestOutcome.NOT_RUN)):
                 state = KeyState.CLAIMED
         return result
     finally:
@@ -133,17 +133,17 @@
 
 async def _repeat(
     answer: Answer, record: KeyRecord, fingerprint: int, holder_gone: bool
-) -> Result[int, Refusal]:
+) -> Result[int, Failure]:
     """Answer a repetition from what is known of the first run."""
     if record.fingerprint != fingerprint:
-        return Err(Refusal(Outcome.NOT_RUN, Reason.KEY_REUSED))
+        return Err(Failure(RequestOutcome.NOT_RUN, Reason.KEY_REUSED))
     if record.state == KeyState.CLAIMED and not holder_gone:
-        busy = Refusal(Outcome.UNKNOWN, Reason.KEY_BUSY, MIN_RETRY_AFTER_SECONDS)
+        busy = Failure(RequestOutcome.UNKNOWN, Reason.KEY_BUSY, MIN_RETRY_AFTER_SECONDS)
         return Err(busy)
     if record.state != KeyState.DONE:
-        return Err(Refusal(Outcome.UNKNOWN, Reason.KEY_LOST))
+        return Err(Failure(RequestOutcome.UNKNOWN, Reason.KEY_LOST))
     if record.answer is None:
-        return Err(Refusal(Outcome.RAN, Reason.ANSWER_NOT_KEPT))
+        return Err(Failure(RequestOutcome.RAN, Reason.ANSWER_NOT_KEPT))
     kept = record.answer
     headers = (*kept.headers, (REPLAYED_HEADER, "true"))
     await answer.start(AnswerHead(kept.status, kept.reason, headers))
--- a/packages/cornelspan-requests/src/cornelspan_requests/outcomes.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/outcomes.py
@@ -1,6 +1,6 @@
 """What a caller is told about its request, and by which status and header.
 
-Each answer that the agent makes itself carries ``Cornelspan-Outcome``:
+Each answer that the agent makes itself carries ``Cornelspan-RequestOutcome``:
 
 - ``not-run``: no backend server has begun this request, and none will.
 - ``unknown``: a backend server may have run it, or may still be running it.
@@ -26,7 +26,7 @@
 PRIORITY_HEADER = "X-Request-Priority"
 
 
-class Outcome(StrEnum):
+class RequestOutcome(StrEnum):
     """How far a request can have come."""
 
     NOT_RUN = "not-run"
@@ -56,19 +56,19 @@
     CANCELLED = "cancelled"
 
 
-CALLERS_OWN = frozenset({Reason.CANCELLED, Reason.TOO_LARGE, Reason.KEY_REUSED})
+CALLER_FAULTS = frozenset({Reason.CANCELLED, Reason.TOO_LARGE, Reason.KEY_REUSED})
 """Reasons that lie with the caller: no backend server could have done better, so they
 say nothing of the service's objective."""
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class Failure:
     """A request that got no answer from a backend server.
 
     ``retry_after`` is in seconds, zero where asking again is of no use.
     """
 
-    outcome: Outcome
+    outcome: RequestOutcome
     reason: Reason
     retry_after: float = 0.0
 
@@ -88,7 +88,7 @@
 }
 
 
-def status_of(reason: Reason, outcome: Outcome) -> int:
+def status_of(reason: Reason, outcome: RequestOutcome) -> int:
     """Return the status for an answer of the agent's own.
 
     A request that surely did not run gets 503, so that generic clients may repeat it;
@@ -97,7 +97,7 @@
     """
     if reason in FIXED_STATUS:
         return FIXED_STATUS[reason]
-    if outcome is Outcome.NOT_RUN:
+    if outcome is RequestOutcome.NOT_RUN:
         return 503
     return 504 if reason is Reason.DEADLINE else 502
 
@@ -111,7 +111,7 @@
     headers: tuple[tuple[str, str], ...]
 
 
-def refusal_head(refusal: Refusal, *, length: int) -> AnswerHead:
+def failure_head(failure: Failure, *, length: int) -> AnswerHead:
     """Return the head of the agent's own answer for a refusal.
 
     Args:
@@ -119,14 +119,14 @@
         length: Size of the body that follows, in bytes.
     """
     headers = [
-        (OUTCOME_HEADER, refusal.outcome.value),
-        (REASON_HEADER, refusal.reason.value),
+        (OUTCOME_HEADER, failure.outcome.value),
+        (REASON_HEADER, failure.reason.value),
         ("Content-Type", "text/plain; charset=utf-8"),
         ("Content-Length", str(length)),
     ]
-    if refusal.outcome is Outcome.NOT_RUN:
+    if failure.outcome is RequestOutcome.NOT_RUN:
         headers.append((NOT_RUN_HEADER, "1"))
-    if refusal.retry_after > 0:
-        headers.append(("Retry-After", str(math.ceil(refusal.retry_after))))
-    status = refusal.status
+    if failure.retry_after > 0:
+        headers.append(("Retry-After", str(math.ceil(failure.retry_after))))
+    status = failure.status
     return AnswerHead(status, responses.get(status, "Unknown"), tuple(headers))
--- a/packages/cornelspan-requests/src/cornelspan_requests/retries.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/retries.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from cornelspan_control.profiles import RetryPolicy
-from cornelspan_requests.outcomes import Outcome, Refusal
+from cornelspan_requests.outcomes import Failure, RequestOutcome
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"})
 BUDGET_SECONDS = 10.0
@@ -12,14 +12,14 @@
 Draw = Callable[[], float]
 
 
-def is_repeatable(method: str, refusal: Refusal) -> bool:
+def is_repeatable(method: str, failure: Failure) -> bool:
     """Whether a request that came to nothing may be tried once more.
 
     Yes if it surely did not run, or if running it twice is the same as once by its
     method (RFC 9110, 9.2.2). A key makes no POST repeatable: the run that it guards
     may have happened.
     """
-    return refusal.outcome is Outcome.NOT_RUN or method in IDEMPOTENT_METHODS
+    return failure.outcome is RequestOutcome.NOT_RUN or method in IDEMPOTENT_METHODS
 
 
 def pause_before(attempt: int, policy: RetryPolicy, draw: Draw) -> float:
--- a/packages/cornelspan-standins/src/cornelspan_standins/__main__.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/__main__.py
@@ -18,7 +18,7 @@
 
 from cornelspan_common.logs import start_logging
 from cornelspan_common.settings import Checked, LogSettings, load_settings
-from cornelspan_daemon.main import SettingsFile, refuse
+from cornelspan_daemon.main import SettingsFile, report_error
 from cornelspan_daemon.running import stop_event
 from cornelspan_standins.examples import write_examples
 from cornelspan_standins.fabric import FabricSettings, fabric
@@ -122,7 +122,7 @@
             asyncio.run(_run(settings, open_standin))
             return 0
         case Err(error):
-            return refuse(str(error))
+            return report_error(str(error))
 
 
 async def _run(
--- a/packages/cornelspan-standins/src/cornelspan_standins/_requests_run.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_requests_run.py
@@ -16,7 +16,7 @@
 from cornelspan_requests.admission import Admission
 from cornelspan_requests.dispatch import HERE, MOST_MOVES, best_place, urgent_view
 from cornelspan_requests.endpoint import RECONSIDER_SECONDS, has_idle_peer
-from cornelspan_requests.outcomes import Reason, Refusal
+from cornelspan_requests.outcomes import Failure, Reason
 from cornelspan_requests.queue import Ticket
 
 MEAN_SECONDS = 0.05
@@ -162,14 +162,14 @@
             site.loads.sent(name)
         return owner if name == HERE else int(name)
 
-    def _moves_on(self, job: Job, refusal: Refusal) -> bool:
+    def _moves_on(self, job: Job, refusal: Failure) -> bool:
         if refusal.reason is Reason.CALLER_SHARE or job.moves >= MOST_MOVES:
             self._shed(job)
             return False
         job.moves += 1
         return True
 
-    def _offer(self, job: Job, place: int, owner: int) -> Refusal | None:
+    def _offer(self, job: Job, place: int, owner: int) -> Failure | None:
         site = self.sites[place]
         deadline = job.arrived + job.stream.deadline_seconds
         priority = job.stream.priority
@@ -184,7 +184,7 @@
             self._give_up(site, given.ticket, given.rejection)
         return None
 
-    def _give_up(self, site: Site, ticket: Ticket, refusal: Refusal) -> None:
+    def _give_up(self, site: Site, ticket: Ticket, refusal: Failure) -> None:
         job = site.jobs.pop(ticket)
         if self._moves_on(job, refusal):
             self._dispatch(job, self.sites.index(site))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -4,7 +4,7 @@
 
 from cornelspan_control.profiles import RequestPolicy
 from cornelspan_requests.admission import MAX_QUEUED_BYTES, Admission
-from cornelspan_requests.outcomes import Outcome, Reason
+from cornelspan_requests.outcomes import Reason, RequestOutcome
 from cornelspan_requests.queue import Ticket
 
 POLICY = RequestPolicy(queue=4, caller_share=0.5)
@@ -38,7 +38,7 @@
             decision = admission.offer(new, POLICY, now=now)
             if decision.rejection is not None:
                 ended.append(new)
-                assert decision.rejection.outcome is Outcome.NOT_RUN
+                assert decision.rejection.outcome is RequestOutcome.NOT_RUN
                 assert decision.rejection.retry_after >= 1
             else:
                 (running if decision.started else waiting).append(new)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -21,7 +21,7 @@
 from cornelspan_requests.electorate import Electorate
 from cornelspan_requests.exchange import Request
 from cornelspan_requests.keyed import serve_keyed
-from cornelspan_requests.outcomes import AnswerHead, Outcome, Reason, Refusal
+from cornelspan_requests.outcomes import AnswerHead, Failure, Reason, RequestOutcome
 from virtual_time import run_virtually
 
 WINDOW = 60.0
@@ -109,11 +109,11 @@
         """Run an order at some server; it goes on whatever becomes of its agent."""
         fate = self.random.random()
         if fate < 0.1:
-            return Err(Refusal(Outcome.NOT_RUN, Reason.REFUSED))
+            return Err(Failure(RequestOutcome.NOT_RUN, Reason.REFUSED))
         self.runs[order] += 1
         await asyncio.sleep(self.random.lognormvariate(-3, 1))
         if fate < 0.35:
-            return Err(Refusal(Outcome.UNKNOWN, Reason.BROKEN))
+            return Err(Failure(RequestOutcome.UNKNOWN, Reason.BROKEN))
         return Ok(200)
 
 
@@ -164,7 +164,7 @@
                 async with asyncio.timeout_at(request.deadline):
                     result = await self.world.run_at_server(order)
             except TimeoutError:
-                return Err(Refusal(Outcome.UNKNOWN, Reason.DEADLINE))
+                return Err(Failure(RequestOutcome.UNKNOWN, Reason.DEADLINE))
             if isinstance(result, Ok):
                 await sink.start(AnswerHead(200, "OK", ()))
             return result
@@ -189,10 +189,10 @@
             case Ok(_):
                 world.told["ran"] += 1
                 return
-            case Err(refusal):
-                world.told[refusal.outcome.value] += 1
-                if refusal.outcome is Outcome.NOT_RUN and world.runs[order]:
-                    world.lies.append((order, refusal.reason))
+            case Err(failure):
+                world.told[failure.outcome.value] += 1
+                if failure.outcome is RequestOutcome.NOT_RUN and world.runs[order]:
+                    world.lies.append((order, failure.reason))
 
 
 async def break_things(world):
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -11,7 +11,7 @@
     must_return,
 )
 from cornelspan_control.profiles import RetryPolicy
-from cornelspan_requests.outcomes import Outcome, Reason, Refusal
+from cornelspan_requests.outcomes import Failure, Reason, RequestOutcome
 from cornelspan_requests.retries import RetryBudget, is_repeatable, pause_before
 from cornelspan_requests.slow_start import SlowStart
 
@@ -99,15 +99,15 @@
 @pytest.mark.parametrize(
     ("method", "outcome", "expected"),
     [
-        ("POST", Outcome.NOT_RUN, True),
-        ("POST", Outcome.UNKNOWN, False),
-        ("PATCH", Outcome.UNKNOWN, False),
-        ("GET", Outcome.UNKNOWN, True),
-        ("PUT", Outcome.UNKNOWN, True),
+        ("POST", RequestOutcome.NOT_RUN, True),
+        ("POST", RequestOutcome.UNKNOWN, False),
+        ("PATCH", RequestOutcome.UNKNOWN, False),
+        ("GET", RequestOutcome.UNKNOWN, True),
+        ("PUT", RequestOutcome.UNKNOWN, True),
     ],
 )
 def test_what_may_be_repeated(method, outcome, expected):
-    assert is_repeatable(method, Refusal(outcome, Reason.BROKEN)) is expected
+    assert is_repeatable(method, Failure(outcome, Reason.BROKEN)) is expected
 
 
 @given(st.integers(1, 30), st.floats(0, 1, exclude_max=True))
