--- a/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
@@ -29,13 +29,13 @@
 from cornelspan_requests.exchange import Request
 from cornelspan_requests.handoff import Handoffs
 from cornelspan_requests.outcomes import Failure, Reason, RequestOutcome
-from cornelspan_requests.retries import Draw, RetryBudget, is_repeatable, pause_before
+from cornelspan_requests.retries import Draw, RetryBudget, backoff_pause, is_repeatable
 
-MOST_MOVES = 2
-UNSEEN_SECONDS = 0.01
-MEASURE_SECONDS = 10.0
-HERE = ""
-TURNED_AWAY = frozenset(
+MAX_MOVES = 2
+PENDING_LOAD_SECONDS = 0.01
+MEAN_VALID_SECONDS = 10.0
+LOCAL = ""
+REJECTED_REASONS = frozenset(
     {Reason.QUEUE_FULL, Reason.DEADLINE, Reason.EJECTED, Reason.DRAINING}
 )
 
@@ -54,10 +54,10 @@
     loads: Loads = field(default_factory=Loads)
 
 
-def best_place(
+def choose_destination(
     own: OwnLoad | None, loads: Loads, names: list[str], tried: set[str], queue: int
 ) -> str | None:
-    """Return where to run a request: an agent's name, ``HERE``, or None for nowhere.
+    """Return where to run a request: an agent's name, ``LOCAL``, or None for nowhere.
 
     Args:
         own: This endpoint's load; None if it takes nothing new.
@@ -73,11 +73,11 @@
         and name in loads.peers
         and loads.peers[name].load.waiting < max(1, queue)
     ]
-    ordered = choose(None if HERE in tried else own, loads, untried)
+    ordered = choose(None if LOCAL in tried else own, loads, untried)
     return ordered[0] if ordered else None
 
 
-def urgent_view(own: OwnLoad | None, loads: Loads) -> tuple[OwnLoad | None, Loads]:
+def urgent_loads(own: OwnLoad | None, loads: Loads) -> tuple[OwnLoad | None, Loads]:
     """Return the loads as a request sees them whose priority was not lowered.
 
     It goes before all lowered ones that wait, so they are no load to it. Counted, they
@@ -85,11 +85,11 @@
     """
     if own is not None:
         own = replace(own, waiting=own.urgent)
-    peers = {name: _urgent(peer) for name, peer in loads.peers.items()}
+    peers = {name: _urgent_load(peer) for name, peer in loads.peers.items()}
     return own, Loads(peers)
 
 
-def _urgent(peer: PeerLoad) -> PeerLoad:
+def _urgent_load(peer: PeerLoad) -> PeerLoad:
     load = structs.replace(peer.load, waiting=peer.load.urgent)
     return PeerLoad(load, peer.unanswered)
 
@@ -104,14 +104,14 @@
 class DispatchCounts:
     """Requests by where they went."""
 
-    here: int = 0
+    local: int = 0
     moved: int = 0
     retried: int = 0
     out_of_budget: int = 0
 
 
 @dataclass
-class Dispatch:
+class Dispatcher:
     """What decides on the place of each request of one agent."""
 
     endpoint: Endpoint
@@ -121,8 +121,8 @@
     leaving: bool = False
     budget: RetryBudget = field(default_factory=RetryBudget)
     counts: DispatchCounts = field(default_factory=DispatchCounts)
-    measured: int = 0
-    measured_at: float = 0.0
+    sample_count: int = 0
+    sampled_at: float = 0.0
 
     def __post_init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -150,12 +150,14 @@
         """
         now = self.loop.time()
         times = self.endpoint.admission.times
-        if times.count != self.measured:
-            self.measured = times.count
-            self.measured_at = now
-        if not times.is_reliable or now - self.measured_at > MEASURE_SECONDS:
+        if times.count != self.sample_count:
+            self.sample_count = times.count
+            self.sampled_at = now
+        if not times.is_reliable or now - self.sampled_at > MEAN_VALID_SECONDS:
             return UNMEASURED
-        return times.mean / self.endpoint.ramp.share(now, profile.slow_start_seconds)
+        return times.mean / self.endpoint.slow_start.share(
+            now, profile.slow_start_seconds
+        )
 
     async def serve(
         self, request: Request, sink: TrackedSink, profile: Profile
@@ -166,16 +168,18 @@
             The status of the whole answer that the sink has got, or what is known of a
             request that has none.
         """
-        self.budget.request(self.loop.time())
+        self.budget.record_request(self.loop.time())
         tried: set[str] = set()
         moves = attempts = 0
         failure = Failure(
             RequestOutcome.NOT_RUN, Reason.DRAINING, MIN_RETRY_AFTER_SECONDS
         )
         urgent = request.priority <= profile.priority
-        while (place := self._place(profile, tried, urgent=urgent)) is not None:
-            tried.add(place)
-            match await self._run(place, request, sink, profile):
+        while (
+            destination := self._choose_destination(profile, tried, urgent=urgent)
+        ) is not None:
+            tried.add(destination)
+            match await self._run(destination, request, sink, profile):
                 case Ok(status):
                     return Ok(status)
                 case Err(failure):
@@ -187,17 +191,17 @@
                 tried.clear()
                 continue
             if (
-                failure.reason in TURNED_AWAY
+                failure.reason in REJECTED_REASONS
                 and failure.outcome is RequestOutcome.NOT_RUN
             ):
                 moves += 1
-                if moves > MOST_MOVES:
+                if moves > MAX_MOVES:
                     break
                 continue
             attempts += 1
             if not await self._may_retry(attempts, request, failure, profile):
                 break
-            if self._place(profile, tried, urgent=urgent) is None:
+            if self._choose_destination(profile, tried, urgent=urgent) is None:
                 tried.clear()
         return Err(failure)
 
@@ -212,27 +216,31 @@
             return Err(leaving)
         return await self.endpoint.run(request, sink, profile)
 
-    def _place(self, profile: Profile, tried: set[str], *, urgent: bool) -> str | None:
-        """Return the best place not yet tried: an agent's name, ``HERE``, or None."""
+    def _choose_destination(
+        self, profile: Profile, tried: set[str], *, urgent: bool
+    ) -> str | None:
+        """Return the best place not yet tried: an agent's name, ``LOCAL``, or None."""
         own = self.own_load(profile)
         names = self.peers.names()
         loads = self.peers.loads
         if urgent:
-            own, loads = urgent_view(own, loads)
-        return best_place(own, loads, names, tried, profile.requests.queue)
+            own, loads = urgent_loads(own, loads)
+        return choose_destination(own, loads, names, tried, profile.requests.queue)
 
     async def _run(
-        self, place: str, request: Request, sink: TrackedSink, profile: Profile
+        self, destination: str, request: Request, sink: TrackedSink, profile: Profile
     ) -> Result[int, Failure]:
-        if place == HERE:
-            self.counts.here += 1
+        if destination == LOCAL:
+            self.counts.local += 1
             return await self.endpoint.run(request, sink, profile)
         self.counts.moved += 1
         # Counted against the peer until its own load shows the request; without this
         # all requests of one moment would fall on the same idle peer.
-        self.peers.loads.sent(place)
-        self.loop.call_later(UNSEEN_SECONDS, self.peers.loads.answered, place)
-        return await self.handoffs.send(place, request, sink)
+        self.peers.loads.sent(destination)
+        self.loop.call_later(
+            PENDING_LOAD_SECONDS, self.peers.loads.answered, destination
+        )
+        return await self.handoffs.send(destination, request, sink)
 
     async def _may_retry(
         self, attempts: int, request: Request, failure: Failure, profile: Profile
@@ -243,7 +251,7 @@
             return False
         if attempts >= profile.retry.attempts:
             return False
-        pause = pause_before(attempts, profile.retry, self.draw)
+        pause = backoff_pause(attempts, profile.retry, self.draw)
         if now + pause >= request.deadline:
             return False
         if not self.budget.spend(profile.retry, now):
--- a/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
@@ -27,11 +27,11 @@
 from cornelspan_requests.slow_start import SlowStart
 
 SERVER_ERROR = 500
-LEAST_MEASURED = 20
-RECONSIDER_SECONDS = 0.1
+MIN_LATENCY_SAMPLES = 20
+MOVE_CHECK_SECONDS = 0.1
 
 log = get_log(__name__)
-Ask = Callable[[Request, AnswerSink], Awaitable[Result[int, Failure]]]
+CallServer = Callable[[Request, AnswerSink], Awaitable[Result[int, Failure]]]
 PeerLoads = Callable[[], Iterable[Load]]
 
 
@@ -39,23 +39,23 @@
 class Endpoint:
     """What an agent holds of its backend server.
 
-    ``ask`` runs one request at the server; ``peer_loads`` are the loads of the other
-    endpoints of the service, which bound how many may be out at once.
+    ``call_server`` runs one request at the server. ``peer_loads`` are the loads of the
+    other endpoints of the service, which bound how many may be ejected at once.
     """
 
     admission: Admission
-    ramp: SlowStart
-    ask: Ask
+    slow_start: SlowStart
+    call_server: CallServer
     peer_loads: PeerLoads
-    judgement: Judgement = field(default_factory=Judgement)
-    turns: dict[Ticket, asyncio.Future] = field(default_factory=dict)
+    ejection_state: Judgement = field(default_factory=Judgement)
+    waiters: dict[Ticket, asyncio.Future] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.loop = asyncio.get_running_loop()
 
     def standing(self) -> Standing:
         """Return how the endpoint stands now."""
-        return self.judgement.standing(self.loop.time())
+        return self.ejection_state.standing(self.loop.time())
 
     @property
     def idle(self) -> bool:
@@ -66,32 +66,32 @@
         self, request: Request, sink: AnswerSink, profile: Profile
     ) -> Result[int, Failure]:
         """Get a slot for a request, run it, and judge the endpoint by it."""
-        if (failure := self._turn_away(profile)) is not None:
+        if (failure := self._reject_if_ejected(profile)) is not None:
             return Err(failure)
         probing = self.standing() is Standing.PROBING
-        self.judgement.probing += probing
+        self.ejection_state.probing += probing
         try:
             return await self._admit(request, sink, profile)
         finally:
-            self.judgement.probing -= probing
+            self.ejection_state.probing -= probing
 
-    def return_if_too_many(self, name: str, profile: Profile) -> None:
+    def end_excess_ejection(self, name: str, profile: Profile) -> None:
         """End an ejection when more endpoints are out than the profile allows."""
-        if not self.judgement.ejected:
+        if not self.ejection_state.ejected:
             return
         loads = list(self.peer_loads())
         out = [name, *(load.name for load in loads if load.slots == 0)]
         share = profile.ejection.share_limit
         if must_return(name, out, len(loads) + 1, share):
-            self.judgement.readmit()
+            self.ejection_state.readmit()
             log.warning("endpoint readmitted", extra={"why": "too many are out"})
 
-    def _turn_away(self, profile: Profile) -> Failure | None:
+    def _reject_if_ejected(self, profile: Profile) -> Failure | None:
         """Refuse while the endpoint is ejected, but for one probe at a time."""
         standing = self.standing()
-        probed = standing is Standing.PROBING and self.judgement.probing
-        if standing is Standing.OUT or probed:
-            left = self.judgement.ejected_until - self.loop.time()
+        probe_running = standing is Standing.PROBING and self.ejection_state.probing
+        if standing is Standing.OUT or probe_running:
+            left = self.ejection_state.ejected_until - self.loop.time()
             return Failure(RequestOutcome.NOT_RUN, Reason.EJECTED, max(1.0, left))
         return None
 
@@ -99,7 +99,7 @@
         self, request: Request, sink: AnswerSink, profile: Profile
     ) -> Result[int, Failure]:
         now = self.loop.time()
-        self._warm_up(profile, now)
+        self._apply_slow_start(profile, now)
         ticket = Ticket(
             request.caller,
             request.priority,
@@ -111,37 +111,37 @@
         if decision.rejection is not None:
             return Err(decision.rejection)
         if not decision.started:
-            self.turns[ticket] = self.loop.create_future()
+            self.waiters[ticket] = self.loop.create_future()
             self._reject_shed(decision.shed)
-            failure = await self._turn(ticket)
+            failure = await self._wait_for_slot(ticket)
             if failure is not None:
                 return Err(failure)
-        return await self._hold_slot(ticket, request, sink, profile)
+        return await self._run_in_slot(ticket, request, sink, profile)
 
-    async def _turn(self, ticket: Ticket) -> Failure | None:
+    async def _wait_for_slot(self, ticket: Ticket) -> Failure | None:
         """Wait for a slot; the refusal if there is none in time."""
-        turn = self.turns[ticket]
+        waiter = self.waiters[ticket]
         try:
             while self.loop.time() < ticket.latest_start:
-                pause = RECONSIDER_SECONDS * random.uniform(1, 2)
+                pause = MOVE_CHECK_SECONDS * random.uniform(1, 2)
                 until_latest = ticket.latest_start - self.loop.time()
-                await asyncio.wait({turn}, timeout=min(pause, until_latest))
-                if turn.done():
-                    return turn.result()
+                await asyncio.wait({waiter}, timeout=min(pause, until_latest))
+                if waiter.done():
+                    return waiter.result()
                 if self._should_move(ticket):
-                    self._withdraw(ticket, turn)
+                    self._withdraw(ticket, waiter)
                     return Failure(
                         RequestOutcome.NOT_RUN, Reason.MOVED, MIN_RETRY_AFTER_SECONDS
                     )
-            self._withdraw(ticket, turn)
+            self._withdraw(ticket, waiter)
             return Failure(
                 RequestOutcome.NOT_RUN, Reason.DEADLINE, MIN_RETRY_AFTER_SECONDS
             )
         except asyncio.CancelledError:
-            self._withdraw(ticket, turn)
+            self._withdraw(ticket, waiter)
             raise
         finally:
-            del self.turns[ticket]
+            del self.waiters[ticket]
 
     def _should_move(self, ticket: Ticket) -> bool:
         """Whether a request waits here while another endpoint has a slot free.
@@ -153,23 +153,23 @@
         first = self.admission.queue.tickets[0] is ticket
         return first and has_idle_peer(self.peer_loads())
 
-    def _withdraw(self, ticket: Ticket, turn: asyncio.Future) -> None:
+    def _withdraw(self, ticket: Ticket, waiter: asyncio.Future) -> None:
         """Leave the queue, or give back the slot that came in the same moment."""
-        if not self.admission.cancel(ticket) and _started(turn):
-            self._free(ticket, measured=False)
+        if not self.admission.cancel(ticket) and _has_slot(waiter):
+            self._free_slot(ticket, measured=False)
 
-    async def _hold_slot(
+    async def _run_in_slot(
         self, ticket: Ticket, request: Request, sink: AnswerSink, profile: Profile
     ) -> Result[int, Failure]:
         measured = False
         try:
-            result = await self.ask(request, sink)
-            measured = self._judge(result, profile)
+            result = await self.call_server(request, sink)
+            measured = self._record_result(result, profile)
             return result
         finally:
-            self._free(ticket, measured=measured)
+            self._free_slot(ticket, measured=measured)
 
-    def _free(self, ticket: Ticket, *, measured: bool) -> None:
+    def _free_slot(self, ticket: Ticket, *, measured: bool) -> None:
         now = self.loop.time()
         started = self.admission.finish(ticket, now=now, measured=measured)
         for next_ticket in started:
@@ -182,14 +182,14 @@
             self._resolve(dropped.ticket, dropped.rejection)
 
     def _resolve(self, ticket: Ticket, failure: Failure | None) -> None:
-        turn = self.turns.get(ticket)
-        if turn is not None and not turn.done():
-            turn.set_result(failure)
+        waiter = self.waiters.get(ticket)
+        if waiter is not None and not waiter.done():
+            waiter.set_result(failure)
         elif failure is None:
             # Its caller went away in this very turn of the loop; the slot goes on.
-            self._free(ticket, measured=False)
+            self._free_slot(ticket, measured=False)
 
-    def _judge(self, result: Result[int, Failure], profile: Profile) -> bool:
+    def _record_result(self, result: Result[int, Failure], profile: Profile) -> bool:
         """Judge the endpoint by one result.
 
         Returns:
@@ -198,23 +198,23 @@
         now = self.loop.time()
         match result:
             case Ok(status) if status < SERVER_ERROR:
-                self._succeeded(profile, now)
+                self._record_success(profile, now)
                 return True
             case Err(Failure(reason=Reason.CANCELLED)):
                 return False
             case Err(Failure(reason=reason)):
-                self._failed(profile, now)
+                self._record_failure(profile, now)
                 return reason is Reason.DEADLINE
-        self._failed(profile, now)
+        self._record_failure(profile, now)
         return True
 
-    def _succeeded(self, profile: Profile, now: float) -> None:
-        if self.judgement.succeed(now):
-            self.ramp.restart(now)
+    def _record_success(self, profile: Profile, now: float) -> None:
+        if self.ejection_state.succeed(now):
+            self.slow_start.restart(now)
             # Times of before the ejection would eject it again at once.
             self.admission.times = ServiceTimes()
             log.info("endpoint readmitted")
-        if self.admission.times.count < LEAST_MEASURED:
+        if self.admission.times.count < MIN_LATENCY_SAMPLES:
             return
         loads = list(self.peer_loads())
         others = [
@@ -223,26 +223,28 @@
             if load.slots > 0 and load.mean_seconds > UNMEASURED
         ]
         own = self.admission.times.mean
-        room = self._room(profile, loads)
-        if self.judgement.eject_if_slow(own, others, profile.ejection, now, room=room):
+        room = self._may_eject(profile, loads)
+        if self.ejection_state.eject_if_slow(
+            own, others, profile.ejection, now, room=room
+        ):
             log.warning("endpoint ejected", extra={"why": "slow", "seconds": own})
 
-    def _failed(self, profile: Profile, now: float) -> None:
-        room = self._room(profile, list(self.peer_loads()))
-        if self.judgement.fail(profile.ejection, now, room=room):
+    def _record_failure(self, profile: Profile, now: float) -> None:
+        room = self._may_eject(profile, list(self.peer_loads()))
+        if self.ejection_state.fail(profile.ejection, now, room=room):
             log.warning("endpoint ejected", extra={"why": "failures"})
 
-    def _room(self, profile: Profile, loads: list[Load]) -> bool:
+    def _may_eject(self, profile: Profile, loads: list[Load]) -> bool:
         out = sum(1 for load in loads if load.slots == 0)
         return has_room(out, len(loads) + 1, profile.ejection)
 
-    def _warm_up(self, profile: Profile, now: float) -> None:
+    def _apply_slow_start(self, profile: Profile, now: float) -> None:
         """Use fewer slots while the endpoint is new and others can take the load."""
         slots = self.admission.slots
         self.admission.limit = slots
         if has_idle_peer(self.peer_loads()):
             seconds = profile.slow_start_seconds
-            self.admission.limit = self.ramp.slots(now, seconds, slots)
+            self.admission.limit = self.slow_start.slots(now, seconds, slots)
 
 
 def has_idle_peer(loads: Iterable[Load]) -> bool:
@@ -250,13 +252,13 @@
     return any(load.running + load.waiting < load.slots for load in loads)
 
 
-def _started(turn: asyncio.Future) -> bool:
-    return turn.done() and not turn.cancelled() and turn.result() is None
+def _has_slot(waiter: asyncio.Future) -> bool:
+    return waiter.done() and not waiter.cancelled() and waiter.result() is None
 
 
 def endpoint_of(
     admission: Admission,
-    ramp: SlowStart,
+    slow_start: SlowStart,
     server: Address,
     answer_bytes: Callable[[], int],
     peer_loads: PeerLoads,
@@ -271,7 +273,7 @@
         peer_loads: Loads of the service's other endpoints.
     """
 
-    async def ask(request: Request, sink: AnswerSink) -> Result[int, Failure]:
+    async def call_server(request: Request, sink: AnswerSink) -> Result[int, Failure]:
         return await call(request, server, sink, answer_bytes=answer_bytes())
 
-    return Endpoint(admission, ramp, ask, peer_loads)
+    return Endpoint(admission, slow_start, call_server, peer_loads)
--- a/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
@@ -34,7 +34,7 @@
 from cornelspan_requests.admission import MIN_RETRY_AFTER_SECONDS, Admission
 from cornelspan_requests.backend import AnswerSink
 from cornelspan_requests.claims import Claims
-from cornelspan_requests.dispatch import Dispatch, Peers
+from cornelspan_requests.dispatch import Dispatcher, Peers
 from cornelspan_requests.electorate import Electorate
 from cornelspan_requests.endpoint import SERVER_ERROR, endpoint_of
 from cornelspan_requests.exchange import (
@@ -104,7 +104,7 @@
             self._peer_loads,
         )
         handoffs = Handoffs(peers.send, self._run_for_peer, tasks)
-        self.dispatch = Dispatch(endpoint, handoffs, peers, random.random)
+        self.dispatcher = Dispatcher(endpoint, handoffs, peers, random.random)
         electorate = Electorate(settings.name, incarnation, self.loop.time())
         self.claims = Claims(
             electorate, peers.send, self.loop.time, self._window, self._seat_window
@@ -119,17 +119,17 @@
     @property
     def idle(self) -> bool:
         """Whether no request is under way, for callers or for other agents."""
-        handoffs = self.dispatch.handoffs
+        handoffs = self.dispatcher.handoffs
         return not self.active and not handoffs.incoming
 
     def own_load(self) -> OwnLoad | None:
         """Return this endpoint's load; None while it takes nothing new."""
-        return self.dispatch.own_load(self.profile)
+        return self.dispatcher.own_load(self.profile)
 
     def register(self, metrics: Metrics) -> None:
         """Offer what is counted here as metrics."""
-        admission = self.dispatch.endpoint.admission
-        shed, placed = admission.counts, self.dispatch.counts
+        admission = self.dispatcher.endpoint.admission
+        shed, placed = admission.counts, self.dispatcher.counts
         ledger = self.claims.ledger
         metrics.gauge("requests_running", "Slots in use", lambda: admission.running)
         metrics.gauge("requests_waiting", "In queue", lambda: len(admission.queue))
@@ -154,7 +154,7 @@
         profile = self.profile
 
         async def respond(incoming: Incoming, answer: Answer) -> None:
-            answer.last = over or self.dispatch.leaving
+            answer.last = over or self.dispatcher.leaving
             await self._respond(incoming, answer, caller, over=over)
 
         self.refused_connections += over
@@ -175,15 +175,15 @@
         if isinstance(message, KEY_MESSAGES):
             self.claims.receive(sender, message)
         else:
-            self.dispatch.handoffs.receive(sender, message)
+            self.dispatcher.handoffs.receive(sender, message)
 
     def lost(self, name: str) -> None:
         """Note that the stream to another agent has ended."""
-        self.dispatch.handoffs.lost(name)
+        self.dispatcher.handoffs.lost(name)
 
     def leave(self) -> None:
         """Admit nothing new here; requests on the flows still open go to others."""
-        self.dispatch.leaving = True
+        self.dispatcher.leaving = True
 
     async def drain(self, seconds: float) -> None:
         """Leave, wait for what runs, and hand the claims on keys over.
@@ -203,7 +203,7 @@
         try:
             while True:
                 self._observe_members()
-                self.dispatch.endpoint.return_if_too_many(
+                self.dispatcher.endpoint.end_excess_ejection(
                     self.settings.name, self.profile
                 )
                 await asyncio.sleep(WATCH_SECONDS)
@@ -256,10 +256,10 @@
             reason = Reason.CONNECTIONS
             return Err(Failure(RequestOutcome.NOT_RUN, reason, MIN_RETRY_AFTER_SECONDS))
         if not is_guarded(request):
-            return await self.dispatch.serve(request, answer, profile)
+            return await self.dispatcher.serve(request, answer, profile)
 
         async def serve(request: Request, sink: KeptSink) -> Result[int, Failure]:
-            return await self.dispatch.serve(request, sink, profile)
+            return await self.dispatcher.serve(request, sink, profile)
 
         self._observe_members()
         return await serve_keyed(request, answer, self.claims, serve, self.tasks)
@@ -267,7 +267,7 @@
     async def _run_for_peer(
         self, request: Request, sink: AnswerSink
     ) -> Result[int, Failure]:
-        return await self.dispatch.run_for_peer(request, sink, self.profile)
+        return await self.dispatcher.run_for_peer(request, sink, self.profile)
 
     def _peer_loads(self) -> list[Load]:
         return [peer.load for peer in self.peers.loads.peers.values()]
--- a/packages/cornelspan-requests/src/cornelspan_requests/retries.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/retries.py
@@ -7,8 +7,8 @@
 from cornelspan_requests.outcomes import Failure, RequestOutcome
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"})
-BUDGET_SECONDS = 10.0
-LEAST_RETRIES = 1
+BUDGET_WINDOW_SECONDS = 10.0
+MIN_RETRIES = 1
 Draw = Callable[[], float]
 
 
@@ -22,7 +22,7 @@
     return failure.outcome is RequestOutcome.NOT_RUN or method in IDEMPOTENT_METHODS
 
 
-def pause_before(attempt: int, policy: RetryPolicy, draw: Draw) -> float:
+def backoff_pause(attempt: int, policy: RetryPolicy, draw: Draw) -> float:
     """Return the seconds before a retry: exponential, with full jitter.
 
     Args:
@@ -31,8 +31,8 @@
         draw: Uniform in [0, 1). Without it all that failed together would come back
             together.
     """
-    longest = policy.backoff_seconds * 2 ** (attempt - 1)
-    return min(policy.backoff_limit_seconds, longest) * draw()
+    max_pause = policy.backoff_seconds * 2 ** (attempt - 1)
+    return min(policy.backoff_limit_seconds, max_pause) * draw()
 
 
 @dataclass
@@ -45,10 +45,10 @@
     started: float = 0.0
     requests: int = 0
     retries: int = 0
-    earlier_requests: int = 0
-    earlier_retries: int = 0
+    previous_requests: int = 0
+    previous_retries: int = 0
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a first attempt."""
         self._advance(now)
         self.requests += 1
@@ -56,20 +56,20 @@
     def spend(self, policy: RetryPolicy, now: float) -> bool:
         """Take one retry out of the budget; False if there is none left."""
         self._advance(now)
-        requests = self.requests + self.earlier_requests
-        allowed = max(LEAST_RETRIES, int(requests * policy.budget_share))
-        if self.retries + self.earlier_retries >= allowed:
+        requests = self.requests + self.previous_requests
+        allowed = max(MIN_RETRIES, int(requests * policy.budget_share))
+        if self.retries + self.previous_retries >= allowed:
             return False
         self.retries += 1
         return True
 
     def _advance(self, now: float) -> None:
         """Move on to a new window once the present one is over."""
-        if now - self.started < BUDGET_SECONDS:
+        if now - self.started < BUDGET_WINDOW_SECONDS:
             return
-        fresh = now - self.started < 2 * BUDGET_SECONDS
-        self.earlier_requests = self.requests if fresh else 0
-        self.earlier_retries = self.retries if fresh else 0
+        adjacent = now - self.started < 2 * BUDGET_WINDOW_SECONDS
+        self.previous_requests = self.requests if adjacent else 0
+        self.previous_retries = self.retries if adjacent else 0
         self.requests = 0
         self.retries = 0
         self.started = now
--- a/packages/cornelspan-standins/src/cornelspan_standins/_requests_run.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_requests_run.py
@@ -14,8 +14,13 @@
 from cornelspan_control.profiles import RequestPolicy
 from cornelspan_ownership.placement import LOAD_SECONDS, Loads, OwnLoad, load_message
 from cornelspan_requests.admission import Admission
-from cornelspan_requests.dispatch import HERE, MOST_MOVES, best_place, urgent_view
-from cornelspan_requests.endpoint import RECONSIDER_SECONDS, has_idle_peer
+from cornelspan_requests.dispatch import (
+    LOCAL,
+    MAX_MOVES,
+    choose_destination,
+    urgent_loads,
+)
+from cornelspan_requests.endpoint import MOVE_CHECK_SECONDS, has_idle_peer
 from cornelspan_requests.outcomes import Failure, Reason
 from cornelspan_requests.queue import Ticket
 
@@ -149,21 +154,21 @@
 
     def _place(self, job: Job, owner: int) -> int | None:
         site = self.sites[owner]
-        tried = {HERE if at == owner else str(at) for at in job.tried}
+        tried = {LOCAL if at == owner else str(at) for at in job.tried}
         names = [str(at) for at in range(len(self.sites)) if at != owner]
         queue = self.case.policy.queue
         own, loads = _own_load(site), site.loads
         if job.stream.priority == TOP_PRIORITY:
-            own, loads = urgent_view(own, loads)
-        name = best_place(own, loads, names, tried, queue)
+            own, loads = urgent_loads(own, loads)
+        name = choose_destination(own, loads, names, tried, queue)
         if name is None:
             return None
-        if name != HERE:
+        if name != LOCAL:
             site.loads.sent(name)
-        return owner if name == HERE else int(name)
+        return owner if name == LOCAL else int(name)
 
     def _moves_on(self, job: Job, refusal: Failure) -> bool:
-        if refusal.reason is Reason.CALLER_SHARE or job.moves >= MOST_MOVES:
+        if refusal.reason is Reason.CALLER_SHARE or job.moves >= MAX_MOVES:
             self._shed(job)
             return False
         job.moves += 1
@@ -217,7 +222,7 @@
     def _move_first(self, at: int, site: Site) -> None:
         """Move the first that waits to an endpoint with a free slot, as agents do."""
         tickets = site.admission.queue.tickets
-        if not tickets or self.now - tickets[0].arrived < RECONSIDER_SECONDS:
+        if not tickets or self.now - tickets[0].arrived < MOVE_CHECK_SECONDS:
             return
         if has_idle_peer(peer.load for peer in site.loads.peers.values()):
             ticket = tickets[0]
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -12,61 +12,61 @@
 )
 from cornelspan_control.profiles import RetryPolicy
 from cornelspan_requests.outcomes import Failure, Reason, RequestOutcome
-from cornelspan_requests.retries import RetryBudget, is_repeatable, pause_before
+from cornelspan_requests.retries import RetryBudget, backoff_pause, is_repeatable
 from cornelspan_requests.slow_start import SlowStart
 
 POLICY = EjectionPolicy(failures=3, seconds=10.0, share_limit=0.34)
 
 
-def fail(judgement, times, now=0.0, *, room=True):
-    return [judgement.fail(POLICY, now, room=room) for _ in range(times)]
+def fail(state, times, now=0.0, *, room=True):
+    return [state.fail(POLICY, now, room=room) for _ in range(times)]
 
 
 def test_failures_in_a_row_eject_and_a_probe_brings_back():
-    judgement = Judgement()
-    assert fail(judgement, 3) == [False, False, True]
-    assert judgement.standing(9.9) is Standing.OUT
-    assert judgement.standing(10.0) is Standing.PROBING
-    assert judgement.succeed(10.0)
-    assert judgement.standing(10.0) is Standing.IN
+    state = Judgement()
+    assert fail(state, 3) == [False, False, True]
+    assert state.standing(9.9) is Standing.OUT
+    assert state.standing(10.0) is Standing.PROBING
+    assert state.succeed(10.0)
+    assert state.standing(10.0) is Standing.IN
 
 
 def test_a_success_between_keeps_an_endpoint_in():
-    judgement = Judgement()
+    state = Judgement()
     for _ in range(10):
-        fail(judgement, 2)
-        judgement.succeed(0.0)
-    assert judgement.standing(0.0) is Standing.IN
+        fail(state, 2)
+        state.succeed(0.0)
+    assert state.standing(0.0) is Standing.IN
 
 
 def test_failed_probe_stays_out_for_longer():
-    judgement = Judgement()
-    fail(judgement, 3)
-    fail(judgement, 1, now=10.0)
-    assert judgement.standing(29.9) is Standing.OUT
-    assert judgement.standing(30.0) is Standing.PROBING
+    state = Judgement()
+    fail(state, 3)
+    fail(state, 1, now=10.0)
+    assert state.standing(29.9) is Standing.OUT
+    assert state.standing(30.0) is Standing.PROBING
 
 
 def test_ejections_are_forgiven_after_a_long_good_time():
-    judgement = Judgement()
-    fail(judgement, 3)
-    judgement.succeed(10.0)
-    judgement.succeed(500.0)
-    fail(judgement, 3, now=600.0)
-    assert judgement.standing(610.0) is Standing.PROBING
+    state = Judgement()
+    fail(state, 3)
+    state.succeed(10.0)
+    state.succeed(500.0)
+    fail(state, 3, now=600.0)
+    assert state.standing(610.0) is Standing.PROBING
 
 
 def test_no_ejection_without_room():
-    judgement = Judgement()
-    fail(judgement, 20, room=False)
-    assert judgement.standing(0.0) is Standing.IN
+    state = Judgement()
+    fail(state, 20, room=False)
+    assert state.standing(0.0) is Standing.IN
 
 
 def test_slow_endpoint_is_compared_with_its_peers():
-    judgement = Judgement()
+    state = Judgement()
     others = [0.05, 0.06, 0.04]
-    assert not judgement.eject_if_slow(0.19, others, POLICY, 0.0, room=True)
-    assert judgement.eject_if_slow(0.21, others, POLICY, 0.0, room=True)
+    assert not state.eject_if_slow(0.19, others, POLICY, 0.0, room=True)
+    assert state.eject_if_slow(0.21, others, POLICY, 0.0, room=True)
 
 
 @given(st.integers(1, 40), st.floats(0, 1))
@@ -90,7 +90,7 @@
     now, retries = 0.0, 0
     for pause in pauses:
         now += pause
-        budget.request(now)
+        budget.record_request(now)
         retries += sum(budget.spend(policy, now) for _ in range(2))
     windows = now / 10 + 2
     assert retries <= 0.2 * len(pauses) + windows
@@ -113,14 +113,14 @@
 @given(st.integers(1, 30), st.floats(0, 1, exclude_max=True))
 def test_pause_is_jittered_and_bounded(attempt, draw):
     policy = RetryPolicy()
-    pause = pause_before(attempt, policy, lambda: draw)
+    pause = backoff_pause(attempt, policy, lambda: draw)
     assert 0 <= pause <= policy.backoff_limit_seconds
 
 
 def test_slow_start_rises_to_all_slots():
-    ramp = SlowStart(100.0)
-    slots = [ramp.slots(100.0 + at, 5.0, 8) for at in range(7)]
+    slow_start = SlowStart(100.0)
+    slots = [slow_start.slots(100.0 + at, 5.0, 8) for at in range(7)]
     assert slots[0] == 1
     assert slots == sorted(slots)
     assert slots[5:] == [8, 8]
-    assert ramp.slots(100.0, 0.0, 8) == 8
+    assert slow_start.slots(100.0, 0.0, 8) == 8
