--- a/packages/cornelspan-requests/src/cornelspan_requests/claims.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/claims.py
@@ -25,15 +25,15 @@
     KeyVote,
     Token,
 )
-from cornelspan_requests.electorate import Electorate, majority
-from cornelspan_requests.keys import KeyState, Ledger, Verdict, done_record
-
-VOTE_SECONDS = 0.5
-QUORUM_SECONDS = 3.0
-LEAST_PAUSE = 0.02
-LONGEST_PAUSE = 0.4
-SYNC_SECONDS = 0.5
-RECORDS_A_MESSAGE = 256
+from cornelspan_requests.keys import KeyState, KeyStore, Vote, finished_record
+from cornelspan_requests.voters import VoterSet, majority
+
+VOTE_TIMEOUT_SECONDS = 0.5
+QUORUM_TIMEOUT_SECONDS = 3.0
+MIN_PAUSE_SECONDS = 0.02
+MAX_PAUSE_SECONDS = 0.4
+SYNC_INTERVAL_SECONDS = 0.5
+RECORDS_PER_MESSAGE = 256
 ANSWER_COPIES = 2
 
 Send = Callable[[str, Message], bool]
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class Existing:
     """Another claim stands; ``holder_gone`` tells that its agent died while it ran."""
 
     record: KeyRecord
@@ -60,30 +60,30 @@
     """Too few agents answered; whether the key has run is not known."""
 
 
-Claimed = Granted | Known | NoQuorum
+ClaimResult = Granted | Existing | NoQuorum
 
 
 @dataclass
-class Ballot:
+class VoteRound:
     """One question and the votes on it so far."""
 
     claim: KeyRecord
     recorded: dict[str, int] = field(default_factory=dict)
     known: dict[str, KeyRecord] = field(default_factory=dict)
     not_ready: set[str] = field(default_factory=set)
-    electorate: set[str] = field(default_factory=set)
+    voters: set[str] = field(default_factory=set)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
     def granted(self) -> bool:
         """Whether more than half have recorded the claim, by every voter's view."""
-        return len(self.recorded) >= majority(len(self.electorate))
+        return len(self.recorded) >= majority(len(self.voters))
 
     @property
     def complete(self) -> bool:
         """Whether all have voted."""
-        voters = self.recorded.keys() | self.known.keys() | self.not_ready
-        return self.electorate <= voters
+        answered = self.recorded.keys() | self.known.keys() | self.not_ready
+        return self.voters <= answered
 
     @property
     def decided(self) -> bool:
@@ -92,9 +92,9 @@
             return True
         if not self.known:
             return self.granted
-        return any(self._settles(record) for record in self.known.values())
+        return any(self._is_conclusive(record) for record in self.known.values())
 
-    def _settles(self, record: KeyRecord) -> bool:
+    def _is_conclusive(self, record: KeyRecord) -> bool:
         """Whether one voter's record is all that there is to know."""
         if record.state == KeyState.CLAIMED:
             return record.token.holder in self.recorded.keys() | self.known.keys()
@@ -105,52 +105,53 @@
 class Claims:
     """The claims of one agent, its votes on others', and its way into the group.
 
-    ``window`` is how long a finished run is remembered, and ``seat_window`` how long a
+    ``window`` is how long a finished run is remembered, and ``voter_window`` how long a
     claim of a run that goes on can last, both in seconds.
     """
 
-    electorate: Electorate
+    voters: VoterSet
     send: Send
     clock: Clock
     window: Callable[[], float]
-    seat_window: Callable[[], float]
-    ledger: Ledger = field(default_factory=Ledger)
-    ballots: dict[int, Ballot] = field(default_factory=dict)
+    voter_window: Callable[[], float]
+    key_store: KeyStore = field(default_factory=KeyStore)
+    rounds: dict[int, VoteRound] = field(default_factory=dict)
     number: int = 0
-    syncing: int = 0
-    received: Counter[str] = field(default_factory=Counter)
+    sync_number: int = 0
+    records_received: Counter[str] = field(default_factory=Counter)
     leaving: bool = False
 
-    async def claim(self, key: bytes, fingerprint: int, deadline: float) -> Claimed:
+    async def claim(self, key: bytes, fingerprint: int, deadline: float) -> ClaimResult:
         """Claim a key for a run, or learn what has become of it.
 
-        While another run of the key goes on this waits for its end, asking again with
-        jittered pauses. Without a quorum it gives up after ``QUORUM_SECONDS``, enough
-        for agents that start together; a lost majority may take the whole window.
+        While another run of the key goes on, wait for its end and ask again after
+        jittered pauses. Without a quorum, give up after ``QUORUM_TIMEOUT_SECONDS``:
+        long enough for agents that start together. After the loss of a majority a
+        quorum may be missing for the whole record window.
 
         Args:
             key: Digest of the key.
             fingerprint: Digest of the request.
             deadline: How long to go on, by the clock.
         """
-        pause = LEAST_PAUSE
-        quorum_until = min(deadline, self.clock() + QUORUM_SECONDS)
+        pause = MIN_PAUSE_SECONDS
+        quorum_until = min(deadline, self.clock() + QUORUM_TIMEOUT_SECONDS)
         while True:
-            claimed = await self._ask(key, fingerprint, deadline)
-            if isinstance(claimed, Granted) or self.clock() + pause > deadline:
-                return claimed
-            if isinstance(claimed, NoQuorum) and self.clock() >= quorum_until:
-                return claimed
-            if isinstance(claimed, Known):
-                running = claimed.record.state == KeyState.CLAIMED
-                if not running or claimed.holder_gone:
-                    return claimed
+            result = await self._run_round(key, fingerprint, deadline)
+            if isinstance(result, Granted) or self.clock() + pause > deadline:
+                return result
+            if isinstance(result, NoQuorum) and self.clock() >= quorum_until:
+                return result
+            if isinstance(result, Existing):
+                running = result.record.state == KeyState.CLAIMED
+                if not running or result.holder_gone:
+                    return result
             await asyncio.sleep(pause * random.uniform(0.5, 1.5))
-            pause = min(LONGEST_PAUSE, 2 * pause)
+            pause = min(MAX_PAUSE_SECONDS, 2 * pause)
 
     def release(self, claim: KeyRecord) -> None:
         """Give a granted claim back: its request has surely not run."""
-        self.ledger.release(claim.key, claim.token)
+        self.key_store.release(claim.key, claim.token)
         self._broadcast(KeyRelease(claim.key, claim.token))
 
     def finish(
@@ -161,14 +162,14 @@
         The first by the key's rank get the answer too, so that it can be given again
         when this agent has died.
         """
-        record = done_record(claim, state, self.window(), answer)
-        self.ledger.finish(record, self.clock())
+        record = finished_record(claim, state, self.window(), answer)
+        self.key_store.finish(record, self.clock())
         others = self._others()
         ranked = rank(
             int.from_bytes(claim.key[:8], "little"),
             [(name, name_seed(name), 1.0) for name in others],
         )
-        without = done_record(claim, state, self.window(), None)
+        without = finished_record(claim, state, self.window(), None)
         for at, name in enumerate(ranked):
             self.send(name, KeyDone(record if at < ANSWER_COPIES else without))
 
@@ -177,31 +178,29 @@
         now = self.clock()
         match message:
             case KeyClaim():
-                self._vote(sender, message, now)
+                self._answer_claim(sender, message, now)
             case KeyVote():
-                self._count(sender, message)
+                self._receive_vote(sender, message)
             case KeyRelease(key, token):
-                self.ledger.release(key, token)
+                self.key_store.release(key, token)
             case KeyDone(record):
-                self.ledger.finish(record, now)
+                self.key_store.finish(record, now)
             case KeySync():
                 self._answer_sync(sender, message, now)
             case KeyRecords():
-                self._take_in(sender, message, now)
+                self._receive_records(sender, message, now)
             case KeyLeave(name, incarnation):
-                self.electorate.leave(name, incarnation)
+                self.voters.remove_voter(name, incarnation)
 
     async def join(self) -> None:
         """Ask the others for their claims until this agent may vote."""
-        while not self.electorate.settle(self.clock(), self.seat_window()):
+        while not self.voters.update_ready(self.clock(), self.voter_window()):
             self.number += 1
-            self.syncing = self.number
-            self.received.clear()
-            electorate = self.electorate
-            self._broadcast(
-                KeySync(self.number, electorate.name, electorate.incarnation)
-            )
-            await asyncio.sleep(SYNC_SECONDS * random.uniform(0.5, 1.0))
+            self.sync_number = self.number
+            self.records_received.clear()
+            voters = self.voters
+            self._broadcast(KeySync(self.number, voters.name, voters.incarnation))
+            await asyncio.sleep(SYNC_INTERVAL_SECONDS * random.uniform(0.5, 1.0))
 
     def leave(self) -> None:
         """Hand all claims to the others and give up the seat, in a planned stop."""
@@ -209,33 +208,35 @@
         now = self.clock()
         for name in self._others():
             self._send_records(name, 0, now)
-        electorate = self.electorate
-        self._broadcast(KeyLeave(electorate.name, electorate.incarnation))
+        voters = self.voters
+        self._broadcast(KeyLeave(voters.name, voters.incarnation))
 
-    async def _ask(self, key: bytes, fingerprint: int, deadline: float) -> Claimed:
+    async def _run_round(
+        self, key: bytes, fingerprint: int, deadline: float
+    ) -> ClaimResult:
         """Put one claim to the vote."""
         self.number += 1
-        electorate = self.electorate
-        token = Token(electorate.name, electorate.incarnation, self.number)
+        voters = self.voters
+        token = Token(voters.name, voters.incarnation, self.number)
         seconds = self.window() + max(0.0, deadline - self.clock())
         claim = KeyRecord(key, token, fingerprint, KeyState.CLAIMED, seconds)
-        ballot = Ballot(claim, electorate=electorate.names())
-        self.ballots[self.number] = ballot
+        vote_round = VoteRound(claim, voters=voters.names())
+        self.rounds[self.number] = vote_round
         question = self.number
         try:
-            if not self._vote_here(ballot):
+            if not self._vote_locally(vote_round):
                 return NoQuorum()
-            if not ballot.decided:
+            if not vote_round.decided:
                 self._broadcast(KeyClaim(question, claim))
-                await self._wait_for_votes(ballot, deadline)
-            return self._close(ballot)
+                await self._wait_for_votes(vote_round, deadline)
+            return self._decide(vote_round)
         except BaseException:
             self.release(claim)
             raise
         finally:
-            del self.ballots[question]
+            del self.rounds[question]
 
-    def _vote_here(self, ballot: Ballot) -> bool:
+    def _vote_locally(self, vote_round: VoteRound) -> bool:
         """Record the own claim and count the own vote, if it counts yet.
 
         Recorded it is in any case: another agent takes our vote for its claim as word
@@ -244,132 +245,132 @@
         Returns:
             False if there is no room for the record.
         """
-        name = self.electorate.name
-        verdict, known = self.ledger.vote(ballot.claim, self.clock())
-        if known is None and verdict is not Verdict.RECORDED:
+        name = self.voters.name
+        vote, known = self.key_store.record_claim(vote_round.claim, self.clock())
+        if known is None and vote is not Vote.RECORDED:
             return False
-        ready = self.electorate.settle(self.clock(), self.seat_window())
+        ready = self.voters.update_ready(self.clock(), self.voter_window())
         if not ready or self.leaving:
-            verdict = Verdict.NOT_READY
-        self._enter(ballot, name, self.electorate.incarnation, verdict, known)
+            vote = Vote.NOT_READY
+        self._record_vote(vote_round, name, self.voters.incarnation, vote, known)
         return True
 
-    async def _wait_for_votes(self, ballot: Ballot, deadline: float) -> None:
-        seconds = min(VOTE_SECONDS, max(0.0, deadline - self.clock()))
+    async def _wait_for_votes(self, vote_round: VoteRound, deadline: float) -> None:
+        seconds = min(VOTE_TIMEOUT_SECONDS, max(0.0, deadline - self.clock()))
         try:
             async with asyncio.timeout(seconds):
-                while not ballot.decided:
-                    ballot.changed.clear()
-                    await ballot.changed.wait()
+                while not vote_round.decided:
+                    vote_round.changed.clear()
+                    await vote_round.changed.wait()
         except TimeoutError:
             return
 
-    def _close(self, ballot: Ballot) -> Claimed:
+    def _decide(self, vote_round: VoteRound) -> ClaimResult:
         """Read the votes; a claim that is not granted is taken back everywhere."""
-        if ballot.granted and not ballot.known:
-            return Granted(ballot.claim)
-        self.release(ballot.claim)
-        if not ballot.known:
+        if vote_round.granted and not vote_round.known:
+            return Granted(vote_round.claim)
+        self.release(vote_round.claim)
+        if not vote_round.known:
             return NoQuorum()
-        record = max(ballot.known.values(), key=_knowledge)
-        if self._stale(ballot, record):
+        record = max(vote_round.known.values(), key=_completeness)
+        if self._is_released(vote_round, record):
             # The holder says it holds no such claim: its release was lost on the way.
             self._broadcast(KeyRelease(record.key, record.token))
-            self.ledger.release(record.key, record.token)
+            self.key_store.release(record.key, record.token)
             return NoQuorum()
-        return Known(record, holder_gone=self._holder_gone(record))
+        return Existing(record, holder_gone=self._holder_gone(record))
 
-    def _stale(self, ballot: Ballot, record: KeyRecord) -> bool:
+    def _is_released(self, vote_round: VoteRound, record: KeyRecord) -> bool:
         """Whether a claim stands at a voter that its own holder no longer holds."""
         holder = record.token.holder
         if record.state != KeyState.CLAIMED:
             return False
-        if holder == self.electorate.name:
-            this_life = record.token.incarnation == self.electorate.incarnation
-            return this_life and holder not in ballot.known
-        return ballot.recorded.get(holder) == record.token.incarnation
+        if holder == self.voters.name:
+            same_incarnation = record.token.incarnation == self.voters.incarnation
+            return same_incarnation and holder not in vote_round.known
+        return vote_round.recorded.get(holder) == record.token.incarnation
 
     def _holder_gone(self, record: KeyRecord) -> bool:
-        seat = self.electorate.seats.get(record.token.holder)
-        if seat is None or seat.lost_at is not None:
+        voter = self.voters.by_name.get(record.token.holder)
+        if voter is None or voter.lost_at is not None:
             return True
-        return seat.incarnation != record.token.incarnation
+        return voter.incarnation != record.token.incarnation
 
-    def _vote(self, sender: str, claim: KeyClaim, now: float) -> None:
-        verdict, known = Verdict.NOT_READY, None
-        if self.electorate.settle(now, self.seat_window()) and not self.leaving:
-            verdict, known = self.ledger.vote(claim.record, now)
+    def _answer_claim(self, sender: str, claim: KeyClaim, now: float) -> None:
+        vote, known = Vote.NOT_READY, None
+        if self.voters.update_ready(now, self.voter_window()) and not self.leaving:
+            vote, known = self.key_store.record_claim(claim.record, now)
         else:
-            known = self.ledger.find(claim.record.key, now)
-        names = tuple(sorted(self.electorate.names()))
-        life = self.electorate.incarnation
-        self.send(sender, KeyVote(claim.question, verdict, known, names, life))
-
-    def _count(self, sender: str, vote: KeyVote) -> None:
-        ballot = self.ballots.get(vote.question)
-        if ballot is None:
+            known = self.key_store.find(claim.record.key, now)
+        names = tuple(sorted(self.voters.names()))
+        incarnation = self.voters.incarnation
+        self.send(sender, KeyVote(claim.question, vote, known, names, incarnation))
+
+    def _receive_vote(self, sender: str, message: KeyVote) -> None:
+        vote_round = self.rounds.get(message.question)
+        if vote_round is None:
             return
-        unknown = set(vote.electorate) - ballot.electorate
-        ballot.electorate |= {
-            name for name in unknown if name not in self.electorate.left
+        unknown = set(message.electorate) - vote_round.voters
+        vote_round.voters |= {
+            name for name in unknown if name not in self.voters.left_incarnations
         }
-        verdict = Verdict(vote.verdict)
-        self._enter(ballot, sender, vote.incarnation, verdict, vote.known)
-        ballot.changed.set()
+        vote = Vote(message.verdict)
+        self._record_vote(vote_round, sender, message.incarnation, vote, message.known)
+        vote_round.changed.set()
 
-    def _enter(
+    def _record_vote(
         self,
-        ballot: Ballot,
+        vote_round: VoteRound,
         name: str,
         incarnation: int,
-        verdict: Verdict,
+        vote: Vote,
         known: KeyRecord | None,
     ) -> None:
-        if known is not None and known.token != ballot.claim.token:
-            ballot.known[name] = known
-        elif verdict is Verdict.RECORDED:
-            ballot.recorded[name] = incarnation
+        if known is not None and known.token != vote_round.claim.token:
+            vote_round.known[name] = known
+        elif vote is Vote.RECORDED:
+            vote_round.recorded[name] = incarnation
         else:
-            ballot.not_ready.add(name)
+            vote_round.not_ready.add(name)
 
     def _answer_sync(self, sender: str, sync: KeySync, now: float) -> None:
         # From here on the new agent counts, so that a claim granted after this answer
         # needs a majority which includes it or one of those it has heard.
-        self.electorate.welcome(sync.name, sync.incarnation)
+        self.voters.add_voter(sync.name, sync.incarnation)
         self._send_records(sender, sync.question, now)
 
     def _send_records(self, name: str, question: int, now: float) -> None:
-        records = self.ledger.all_records(now)
-        names = tuple(sorted(self.electorate.names()))
-        ready = self.electorate.settle(now, self.seat_window())
-        for start in range(0, max(1, len(records)), RECORDS_A_MESSAGE):
-            part = tuple(records[start : start + RECORDS_A_MESSAGE])
-            earlier = self.electorate.earlier
+        records = self.key_store.all_records(now)
+        names = tuple(sorted(self.voters.names()))
+        ready = self.voters.update_ready(now, self.voter_window())
+        for start in range(0, max(1, len(records)), RECORDS_PER_MESSAGE):
+            part = tuple(records[start : start + RECORDS_PER_MESSAGE])
+            restart_seen = self.voters.restart_seen
             total = len(records)
-            message = KeyRecords(question, ready, earlier, names, part, total)
+            message = KeyRecords(question, ready, restart_seen, names, part, total)
             self.send(name, message)
 
-    def _take_in(self, sender: str, records: KeyRecords, now: float) -> None:
-        self.ledger.take_in(records.records, now)
-        if records.question != self.syncing or not self.syncing:
+    def _receive_records(self, sender: str, records: KeyRecords, now: float) -> None:
+        self.key_store.merge(records.records, now)
+        if records.question != self.sync_number or not self.sync_number:
             return
-        self.received[sender] += len(records.records)
-        if self.received[sender] == records.total:
-            self.electorate.answered(
+        self.records_received[sender] += len(records.records)
+        if self.records_received[sender] == records.total:
+            self.voters.record_sync(
                 sender,
                 ready=records.ready,
-                earlier=records.earlier,
+                restart_seen=records.earlier,
                 others=records.electorate,
             )
-            self.electorate.settle(now, self.seat_window())
+            self.voters.update_ready(now, self.voter_window())
 
     def _others(self) -> list[str]:
-        return sorted(self.electorate.names() - {self.electorate.name})
+        return sorted(self.voters.names() - {self.voters.name})
 
     def _broadcast(self, message: Message) -> None:
         for name in self._others():
             self.send(name, message)
 
 
-def _knowledge(record: KeyRecord) -> tuple[bool, bool]:
+def _completeness(record: KeyRecord) -> tuple[bool, bool]:
     return record.state != KeyState.CLAIMED, record.answer is not None
--- a/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
@@ -35,7 +35,6 @@
 from cornelspan_requests.backend import AnswerSink
 from cornelspan_requests.claims import Claims
 from cornelspan_requests.dispatch import Dispatcher, Peers
-from cornelspan_requests.electorate import Electorate
 from cornelspan_requests.endpoint import SERVER_ERROR, endpoint_of
 from cornelspan_requests.exchange import (
     Answer,
@@ -45,7 +44,7 @@
     serve_requests,
 )
 from cornelspan_requests.handoff import Handoffs
-from cornelspan_requests.keyed import KeptSink, is_guarded, serve_keyed
+from cornelspan_requests.keyed import RecordingSink, needs_claim, serve_keyed
 from cornelspan_requests.objectives import ObjectiveCounts
 from cornelspan_requests.outcomes import (
     CALLER_FAULTS,
@@ -57,6 +56,7 @@
     RequestOutcome,
 )
 from cornelspan_requests.slow_start import SlowStart
+from cornelspan_requests.voters import VoterSet
 
 __all__ = ["Gateway", "Peers", "gateway"]
 
@@ -105,9 +105,9 @@
         )
         handoffs = Handoffs(peers.send, self._run_for_peer, tasks)
         self.dispatcher = Dispatcher(endpoint, handoffs, peers, random.random)
-        electorate = Electorate(settings.name, incarnation, self.loop.time())
+        voters = VoterSet(settings.name, incarnation, self.loop.time())
         self.claims = Claims(
-            electorate, peers.send, self.loop.time, self._window, self._seat_window
+            voters, peers.send, self.loop.time, self._record_window, self._voter_window
         )
 
     @property
@@ -130,7 +130,7 @@
         """Offer what is counted here as metrics."""
         admission = self.dispatcher.endpoint.admission
         shed, placed = admission.counts, self.dispatcher.counts
-        ledger = self.claims.ledger
+        key_store = self.claims.key_store
         metrics.gauge("requests_running", "Slots in use", lambda: admission.running)
         metrics.gauge("requests_waiting", "In queue", lambda: len(admission.queue))
         metrics.count("requests_admitted", "Got a slot", lambda: shed.admitted)
@@ -140,8 +140,8 @@
         metrics.count("requests_moved", "Handed over", lambda: placed.moved)
         metrics.count("requests_retried", "Tried again", lambda: placed.retried)
         metrics.count("retries_denied", "Over budget", lambda: placed.out_of_budget)
-        metrics.gauge("keys_held", "Keys remembered", lambda: len(ledger.records))
-        metrics.count("keys_refused", "No room for a key", lambda: ledger.refused)
+        metrics.gauge("keys_held", "Keys remembered", lambda: len(key_store.records))
+        metrics.count("keys_refused", "No room for a key", lambda: key_store.refused)
 
     async def handle_stream(self, stream: IOStream, caller: str) -> None:
         """Serve HTTP/1.1 on a flow until it ends.
@@ -213,7 +213,7 @@
     def _observe_members(self) -> None:
         members = self.members.of_service(self.settings.service)
         now = self.loop.time()
-        self.claims.electorate.observe(members, now, self._seat_window())
+        self.claims.voters.observe(members, now, self._voter_window())
 
     async def _respond(
         self, incoming: Incoming, answer: Answer, caller: str, *, over: bool
@@ -255,10 +255,10 @@
         if over:
             reason = Reason.CONNECTIONS
             return Err(Failure(RequestOutcome.NOT_RUN, reason, MIN_RETRY_AFTER_SECONDS))
-        if not is_guarded(request):
+        if not needs_claim(request):
             return await self.dispatcher.serve(request, answer, profile)
 
-        async def serve(request: Request, sink: KeptSink) -> Result[int, Failure]:
+        async def serve(request: Request, sink: RecordingSink) -> Result[int, Failure]:
             return await self.dispatcher.serve(request, sink, profile)
 
         self._observe_members()
@@ -272,10 +272,10 @@
     def _peer_loads(self) -> list[Load]:
         return [peer.load for peer in self.peers.loads.peers.values()]
 
-    def _window(self) -> float:
+    def _record_window(self) -> float:
         return self.profile.requests.claim_seconds
 
-    def _seat_window(self) -> float:
+    def _voter_window(self) -> float:
         requests = self.profile.requests
         return requests.claim_seconds + requests.deadline_seconds
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/keyed.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/keyed.py
@@ -9,7 +9,7 @@
 from cornelspan_common.requests import KeptAnswer, KeyRecord
 from cornelspan_common.tasks import Tasks
 from cornelspan_requests.admission import MIN_RETRY_AFTER_SECONDS
-from cornelspan_requests.claims import Claims, Granted, Known, NoQuorum
+from cornelspan_requests.claims import Claims, Existing, Granted, NoQuorum
 from cornelspan_requests.exchange import Answer, Request
 from cornelspan_requests.keys import KeyState, fingerprint_of, key_digest
 from cornelspan_requests.outcomes import (
@@ -21,14 +21,14 @@
 )
 from cornelspan_requests.retries import IDEMPOTENT_METHODS
 
-KEPT_BYTES = 16384
-LONGEST_KEY = 255
+MAX_KEPT_BYTES = 16384
+MAX_KEY_LENGTH = 255
 
-Serve = Callable[[Request, "KeptSink"], Awaitable[Result[int, Failure]]]
+Serve = Callable[[Request, "RecordingSink"], Awaitable[Result[int, Failure]]]
 
 
 @dataclass
-class KeptSink:
+class RecordingSink:
     """Passes an answer to its caller and keeps a copy, if it is small.
 
     A caller that has gone away doesn't end the run: cut short, an order might be
@@ -39,7 +39,7 @@
     head: AnswerHead | None = None
     body: bytearray = field(default_factory=bytearray)
     too_long: bool = False
-    gone: bool = False
+    caller_gone: bool = False
 
     @property
     def begun(self) -> bool:
@@ -49,20 +49,20 @@
     async def start(self, head: AnswerHead) -> bool:
         """Take status and headers."""
         self.head = head
-        self.gone = self.gone or not await self.answer.start(head)
+        self.caller_gone = self.caller_gone or not await self.answer.start(head)
         return True
 
     async def write(self, chunk: bytes) -> bool:
         """Take a part of the body."""
-        if len(self.body) + len(chunk) > KEPT_BYTES:
+        if len(self.body) + len(chunk) > MAX_KEPT_BYTES:
             self.too_long = True
             self.body.clear()
         if not self.too_long:
             self.body += chunk
-        self.gone = self.gone or not await self.answer.write(chunk)
+        self.caller_gone = self.caller_gone or not await self.answer.write(chunk)
         return True
 
-    def kept(self) -> KeptAnswer | None:
+    def kept_answer(self) -> KeptAnswer | None:
         """Return the answer as it is kept, None if it was too long."""
         if self.head is None or self.too_long:
             return None
@@ -70,7 +70,7 @@
         return KeptAnswer(head.status, head.reason, head.headers, bytes(self.body))
 
 
-def is_guarded(request: Request) -> bool:
+def needs_claim(request: Request) -> bool:
     """Whether a request's key has to be claimed: a method that isn't idempotent."""
     return bool(request.key) and request.method not in IDEMPOTENT_METHODS
 
@@ -91,16 +91,16 @@
         serve: Runs the request.
         tasks: Holds the run, which goes on when the caller goes away.
     """
-    if len(request.key) > LONGEST_KEY:
+    if len(request.key) > MAX_KEY_LENGTH:
         return Err(Failure(RequestOutcome.NOT_RUN, Reason.TOO_LARGE))
     fingerprint = fingerprint_of(request.method, request.target, request.body)
     key = key_digest(request.key)
     match await claims.claim(key, fingerprint, request.deadline):
         case Granted(claim):
-            work = _run(request, answer, claims, claim, serve)
+            work = _run_claimed(request, answer, claims, claim, serve)
             return await asyncio.shield(tasks.start(work, name="keyed request"))
-        case Known(record, holder_gone):
-            return await _repeat(answer, record, fingerprint, holder_gone)
+        case Existing(record, holder_gone):
+            return await _answer_repeat(answer, record, fingerprint, holder_gone)
         case NoQuorum():
             unknown = Failure(
                 RequestOutcome.UNKNOWN, Reason.NO_QUORUM, MIN_RETRY_AFTER_SECONDS
@@ -108,11 +108,11 @@
             return Err(unknown)
 
 
-async def _run(
+async def _run_claimed(
     request: Request, answer: Answer, claims: Claims, claim: KeyRecord, serve: Serve
 ) -> Result[int, Failure]:
     """Run under a claim, and tell all others how it ended."""
-    sink = KeptSink(answer)
+    sink = RecordingSink(answer)
     state = KeyState.UNKNOWN
     kept = None
     try:
@@ -120,7 +120,7 @@
         match result:
             case Ok(_):
                 state = KeyState.DONE
-                kept = sink.kept()
+                kept = sink.kept_answer()
             case Err(Failure(outcome=RequestOutcome.NOT_RUN)):
                 state = KeyState.CLAIMED
         return result
@@ -131,7 +131,7 @@
             claims.finish(claim, state, kept)
 
 
-async def _repeat(
+async def _answer_repeat(
     answer: Answer, record: KeyRecord, fingerprint: int, holder_gone: bool
 ) -> Result[int, Failure]:
     """Answer a repetition from what is known of the first run."""
--- a/packages/cornelspan-requests/src/cornelspan_requests/keys.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/keys.py
@@ -15,7 +15,7 @@
 
 from cornelspan_common.requests import KeptAnswer, KeyRecord, Token
 
-MOST_RECORDS = 100_000
+MAX_RECORDS = 100_000
 
 
 class KeyState(IntEnum):
@@ -26,7 +26,7 @@
     UNKNOWN = 3
 
 
-class Verdict(IntEnum):
+class Vote(IntEnum):
     """A vote on a claim."""
 
     RECORDED = 1
@@ -47,48 +47,50 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class StoredRecord:
     """A record and when it ends, in seconds of the owner's clock."""
 
     record: KeyRecord
-    ends: float
+    expires_at: float
 
 
 @dataclass
-class Ledger:
+class KeyStore:
     """The records of one agent, oldest first by their first arrival."""
 
-    records: dict[bytes, Kept] = field(default_factory=dict)
-    swept: float = 0.0
+    records: dict[bytes, StoredRecord] = field(default_factory=dict)
+    swept_at: float = 0.0
     refused: int = 0
 
     def find(self, key: bytes, now: float) -> KeyRecord | None:
         """Return what is known of a key, with the time that the record still has."""
-        kept = self.records.get(key)
-        if kept is None or kept.ends <= now:
+        stored = self.records.get(key)
+        if stored is None or stored.expires_at <= now:
             return None
-        return replace(kept.record, seconds=kept.ends - now)
+        return replace(stored.record, seconds=stored.expires_at - now)
 
-    def vote(self, claim: KeyRecord, now: float) -> tuple[Verdict, KeyRecord | None]:
+    def record_claim(
+        self, claim: KeyRecord, now: float
+    ) -> tuple[Vote, KeyRecord | None]:
         """Record a claim, or tell what stands in its way."""
-        self._sweep(now)
+        self._drop_expired(now)
         known = self.find(claim.key, now)
         if known is not None:
             same = known.token == claim.token
-            return (Verdict.RECORDED, None) if same else (Verdict.KNOWN, known)
-        if len(self.records) >= MOST_RECORDS:
+            return (Vote.RECORDED, None) if same else (Vote.KNOWN, known)
+        if len(self.records) >= MAX_RECORDS:
             # Dropping a record to make room would let its key run again.
             self.refused += 1
-            return Verdict.NOT_READY, None
-        self.records[claim.key] = Kept(claim, now + claim.seconds)
-        return Verdict.RECORDED, None
+            return Vote.NOT_READY, None
+        self.records[claim.key] = StoredRecord(claim, now + claim.seconds)
+        return Vote.RECORDED, None
 
     def release(self, key: bytes, token: Token) -> bool:
         """Forget a claim that came to no run; another's claim stays."""
-        kept = self.records.get(key)
-        if kept is None or kept.record.token != token:
+        stored = self.records.get(key)
+        if stored is None or stored.record.token != token:
             return False
-        if kept.record.state != KeyState.CLAIMED:
+        if stored.record.state != KeyState.CLAIMED:
             return False
         del self.records[key]
         return True
@@ -99,42 +101,44 @@
         A record that is here under another claim gives way: only a granted claim
         finishes, and whoever else claimed the key has not been granted it.
         """
-        kept = self.records.get(record.key)
-        same = kept is not None and kept.record.token == record.token
-        if same and kept.record.answer is not None and record.answer is None:
+        stored = self.records.get(record.key)
+        same = stored is not None and stored.record.token == record.token
+        if same and stored.record.answer is not None and record.answer is None:
             return
-        self.records[record.key] = Kept(record, now + record.seconds)
+        self.records[record.key] = StoredRecord(record, now + record.seconds)
 
-    def take_in(self, records: Iterable[KeyRecord], now: float) -> None:
+    def merge(self, records: Iterable[KeyRecord], now: float) -> None:
         """Add another agent's records; what has come further wins."""
         for record in records:
-            kept = self.records.get(record.key)
-            if kept is None or _further(record, kept.record):
-                self.records[record.key] = Kept(record, now + record.seconds)
+            stored = self.records.get(record.key)
+            if stored is None or _supersedes(record, stored.record):
+                self.records[record.key] = StoredRecord(record, now + record.seconds)
 
     def all_records(self, now: float) -> list[KeyRecord]:
         """Return what is to be handed to an agent that starts."""
         found = (self.find(key, now) for key in list(self.records))
         return [record for record in found if record is not None]
 
-    def _sweep(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         """Forget ended records, at most once a second."""
-        if now - self.swept < 1.0:
+        if now - self.swept_at < 1.0:
             return
-        self.swept = now
-        ended = [key for key, kept in self.records.items() if kept.ends <= now]
-        for key in ended:
+        self.swept_at = now
+        expired = [
+            key for key, stored in self.records.items() if stored.expires_at <= now
+        ]
+        for key in expired:
             del self.records[key]
 
 
-def done_record(
+def finished_record(
     claim: KeyRecord, state: KeyState, seconds: float, answer: KeptAnswer | None
 ) -> KeyRecord:
     """Return the record of a claim whose run has ended."""
     return replace(claim, state=int(state), seconds=seconds, answer=answer)
 
 
-def _further(record: KeyRecord, known: KeyRecord) -> bool:
+def _supersedes(record: KeyRecord, known: KeyRecord) -> bool:
     """Whether a record tells more than the known one."""
     if record.state != known.state:
         return known.state == KeyState.CLAIMED
--- a/packages/cornelspan-requests/src/cornelspan_requests/electorate.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/voters.py
@@ -11,11 +11,11 @@
 
 from cornelspan_common.control import Announce
 
-SETTLE_SECONDS = 1.0
+MIN_JOIN_SECONDS = 1.0
 
 
 @dataclass(slots=True)
-class Seat:
+class Voter:
     """An agent that was seen; ``lost_at`` is when it was missed first."""
 
     incarnation: int
@@ -27,7 +27,7 @@
     return count // 2 + 1
 
 
-def reading_quorum(count: int) -> int:
+def read_quorum(count: int) -> int:
     """Return how many others an agent that starts must hear, of so many seats.
 
     A claim that it had recorded itself in an earlier life is known to one less than a
@@ -37,29 +37,29 @@
 
 
 @dataclass
-class Electorate:
-    """The seats as one agent sees them; times in seconds of the owner's clock.
+class VoterSet:
+    """The voters as one agent sees them; times in seconds of the owner's clock.
 
-    ``earlier`` tells that the service has had a life before, whose claims an agent that
-    starts can't know by itself.
+    ``restart_seen`` is set when an agent of the service is known to have restarted: its
+    earlier incarnation may have recorded claims that this agent doesn't have.
     """
 
     name: str
     incarnation: int
     started: float
-    seats: dict[str, Seat] = field(default_factory=dict)
-    left: dict[str, int] = field(default_factory=dict)
+    by_name: dict[str, Voter] = field(default_factory=dict)
+    left_incarnations: dict[str, int] = field(default_factory=dict)
     ready: bool = False
-    earlier: bool = False
-    ready_answers: set[str] = field(default_factory=set)
-    fresh_answers: set[str] = field(default_factory=set)
+    restart_seen: bool = False
+    synced_ready: set[str] = field(default_factory=set)
+    synced_unready: set[str] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        self.seats[self.name] = Seat(self.incarnation)
+        self.by_name[self.name] = Voter(self.incarnation)
 
     def names(self) -> set[str]:
         """Return the agents whose votes count."""
-        return set(self.seats)
+        return set(self.by_name)
 
     def observe(self, members: Iterable[Announce], now: float, window: float) -> None:
         """Bring the seats up to date with the members known now.
@@ -71,40 +71,42 @@
         """
         present = {member.name: member.incarnation for member in members}
         for name, incarnation in present.items():
-            self.welcome(name, incarnation)
-        for name in list(self.seats):
+            self.add_voter(name, incarnation)
+        for name in list(self.by_name):
             if name != self.name and name not in present:
-                self._miss(name, now, window)
+                self._mark_missing(name, now, window)
 
-    def welcome(self, name: str, incarnation: int) -> None:
+    def add_voter(self, name: str, incarnation: int) -> None:
         """Give an agent its seat; one that came back may have lost its claims."""
-        if incarnation <= self.left.get(name, 0):
+        if incarnation <= self.left_incarnations.get(name, 0):
             return
-        seat = self.seats.get(name)
-        if seat is None:
-            self.seats[name] = Seat(incarnation)
+        voter = self.by_name.get(name)
+        if voter is None:
+            self.by_name[name] = Voter(incarnation)
             return
         if name == self.name:
             # Our own earlier life, still among the members: it had claims, now lost.
-            self.earlier = self.earlier or incarnation < self.incarnation
+            self.restart_seen = self.restart_seen or incarnation < self.incarnation
             return
-        if incarnation > seat.incarnation:
+        if incarnation > voter.incarnation:
             # A seat of life 0 was only heard of from another agent. Taken for a return,
             # the first sight of it would keep a new service from voting for a window.
-            self.earlier = self.earlier or seat.incarnation > 0
-            self.seats[name] = Seat(incarnation)
-        elif incarnation == seat.incarnation:
-            seat.lost_at = None
+            self.restart_seen = self.restart_seen or voter.incarnation > 0
+            self.by_name[name] = Voter(incarnation)
+        elif incarnation == voter.incarnation:
+            voter.lost_at = None
 
-    def leave(self, name: str, incarnation: int) -> None:
+    def remove_voter(self, name: str, incarnation: int) -> None:
         """Take the seat of an agent that has handed on its claims."""
-        self.left[name] = max(incarnation, self.left.get(name, 0))
-        seat = self.seats.get(name)
-        if seat is not None and name != self.name and seat.incarnation <= incarnation:
-            del self.seats[name]
-
-    def answered(
-        self, name: str, *, ready: bool, earlier: bool, others: Iterable[str]
+        self.left_incarnations[name] = max(
+            incarnation, self.left_incarnations.get(name, 0)
+        )
+        voter = self.by_name.get(name)
+        if voter is not None and name != self.name and voter.incarnation <= incarnation:
+            del self.by_name[name]
+
+    def record_sync(
+        self, name: str, *, ready: bool, restart_seen: bool, others: Iterable[str]
     ) -> None:
         """Note that an agent has handed over all its records.
 
@@ -114,17 +116,17 @@
             earlier: Whether it knows of an earlier life of the service.
             others: The seats as it sees them; unknown ones are taken in.
         """
-        self.earlier = self.earlier or earlier
+        self.restart_seen = self.restart_seen or restart_seen
         for other in others:
-            if other not in self.seats and other not in self.left:
-                self.seats[other] = Seat(0)
+            if other not in self.by_name and other not in self.left_incarnations:
+                self.by_name[other] = Voter(0)
         if ready:
-            self.ready_answers.add(name)
-            self.fresh_answers.discard(name)
+            self.synced_ready.add(name)
+            self.synced_unready.discard(name)
         else:
-            self.fresh_answers.add(name)
+            self.synced_unready.add(name)
 
-    def settle(self, now: float, window: float) -> bool:
+    def update_ready(self, now: float, window: float) -> bool:
         """Work out whether this agent may vote, and return it.
 
         It may once it has the records of so many that every earlier majority is among
@@ -132,21 +134,21 @@
         records are lost; or when it has been here so long that all earlier claims have
         ended. Else it would answer for keys that it has lost, and one would run twice.
         """
-        if self.ready or now - self.started < SETTLE_SECONDS:
+        if self.ready or now - self.started < MIN_JOIN_SECONDS:
             return self.ready
         others = self.names() - {self.name}
-        heard = len(self.ready_answers & others)
-        synced = bool(others) and heard >= reading_quorum(len(self.seats))
-        lost = any(seat.lost_at is not None for seat in self.seats.values())
-        heard_all = others <= self.fresh_answers | self.ready_answers
-        complete = heard_all and not self.earlier and not lost
-        if synced or complete or now - self.started >= window:
+        synced_count = len(self.synced_ready & others)
+        has_quorum = bool(others) and synced_count >= read_quorum(len(self.by_name))
+        any_lost = any(voter.lost_at is not None for voter in self.by_name.values())
+        all_synced = others <= self.synced_unready | self.synced_ready
+        complete = all_synced and not self.restart_seen and not any_lost
+        if has_quorum or complete or now - self.started >= window:
             self.ready = True
         return self.ready
 
-    def _miss(self, name: str, now: float, window: float) -> None:
-        seat = self.seats[name]
-        if seat.lost_at is None:
-            seat.lost_at = now
-        elif now - seat.lost_at >= window:
-            del self.seats[name]
+    def _mark_missing(self, name: str, now: float, window: float) -> None:
+        voter = self.by_name[name]
+        if voter.lost_at is None:
+            voter.lost_at = now
+        elif now - voter.lost_at >= window:
+            del self.by_name[name]
--- a/tests/http_fakes.py
+++ b/tests/http_fakes.py
@@ -194,7 +194,7 @@
             held.lost(name)
 
     async def ready(self):
-        while not all(g.claims.electorate.ready for g in self.gateways.values()):
+        while not all(g.claims.voters.ready for g in self.gateways.values()):
             await asyncio.sleep(0.02)
 
 
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -16,12 +16,12 @@
 from cornelspan_common.control import Announce
 from cornelspan_common.tasks import Tasks
 from cornelspan_control.members import Members
-from cornelspan_requests import claims as claims_module, electorate as electorate_module
+from cornelspan_requests import claims as claims_module, voters as voters_module
 from cornelspan_requests.claims import Claims
-from cornelspan_requests.electorate import Electorate
 from cornelspan_requests.exchange import Request
 from cornelspan_requests.keyed import serve_keyed
 from cornelspan_requests.outcomes import AnswerHead, Failure, Reason, RequestOutcome
+from cornelspan_requests.voters import VoterSet
 from virtual_time import run_virtually
 
 WINDOW = 60.0
@@ -128,7 +128,7 @@
         self.members = Members()
         self.tasks = Tasks()
         self.claims = Claims(
-            Electorate(name, life, world.loop.time()),
+            VoterSet(name, life, world.loop.time()),
             lambda to, message: world.send(self, to, message),
             world.loop.time,
             lambda: WINDOW,
@@ -152,7 +152,7 @@
     def observe(self):
         members = self.members.of_service(SERVICE)
         now = self.world.loop.time()
-        self.claims.electorate.observe(members, now, WINDOW + DEADLINE)
+        self.claims.voters.observe(members, now, WINDOW + DEADLINE)
 
     async def order(self, order):
         """Serve one attempt at an order."""
@@ -276,5 +276,5 @@
     if fault == "no majority":
         monkeypatch.setattr(claims_module, "majority", lambda count: 1)
     else:
-        monkeypatch.setattr(electorate_module.Electorate, "settle", lambda *_: True)
+        monkeypatch.setattr(voters_module.VoterSet, "update_ready", lambda *_: True)
     assert sweep(range(20))["doubles"] > 0
--- a/tests/test_electorate.py
+++ b/tests/test_electorate.py
@@ -3,7 +3,7 @@
 from hypothesis import given, strategies as st
 
 from cornelspan_common.control import Announce
-from cornelspan_requests.electorate import Electorate, majority, reading_quorum
+from cornelspan_requests.voters import VoterSet, majority, read_quorum
 
 NAMES = ("hub-1", "hub-2", "hub-3", "hub-4", "hub-5")
 
@@ -13,21 +13,21 @@
 
 
 def seated(name="hub-1", names=NAMES):
-    electorate = Electorate(name, 1, 0.0)
-    electorate.observe([member(n) for n in names], 0.0, 600.0)
-    return electorate
+    voters = VoterSet(name, 1, 0.0)
+    voters.observe([member(n) for n in names], 0.0, 600.0)
+    return voters
 
 
-def hear(electorate, names, *, ready, earlier=False):
+def hear(voters, names, *, ready, restart_seen=False):
     for name in names:
-        electorate.answered(name, ready=ready, earlier=earlier, others=NAMES)
+        voters.record_sync(name, ready=ready, restart_seen=restart_seen, others=NAMES)
 
 
 @given(st.integers(1, 50))
 def test_quorums_always_meet(count):
     assert 2 * majority(count) > count
     # One seat's own vote is lost with its earlier life.
-    assert (majority(count) - 1) + reading_quorum(count) > count - 1
+    assert (majority(count) - 1) + read_quorum(count) > count - 1
 
 
 @given(st.sets(st.sampled_from(NAMES[1:])))
@@ -35,70 +35,70 @@
     # All start together and some are ready first. Each of the others has heard of
     # some that vote and of some that don't; were neither kind enough by itself, they
     # would wait for each other for the whole window.
-    electorate = seated()
-    hear(electorate, already_ready, ready=True)
-    hear(electorate, set(NAMES[1:]) - already_ready, ready=False)
-    assert electorate.settle(2.0, 600.0)
+    voters = seated()
+    hear(voters, already_ready, ready=True)
+    hear(voters, set(NAMES[1:]) - already_ready, ready=False)
+    assert voters.update_ready(2.0, 600.0)
 
 
 def test_nobody_votes_at_once_or_alone_among_silent_peers():
-    assert not Electorate("hub-1", 1, 0.0).settle(0.5, 600.0)
-    assert Electorate("hub-1", 1, 0.0).settle(1.5, 600.0)
-    assert not seated().settle(500.0, 600.0)
-    assert seated().settle(600.0, 600.0)
+    assert not VoterSet("hub-1", 1, 0.0).update_ready(0.5, 600.0)
+    assert VoterSet("hub-1", 1, 0.0).update_ready(1.5, 600.0)
+    assert not seated().update_ready(500.0, 600.0)
+    assert seated().update_ready(600.0, 600.0)
 
 
 def test_returning_agent_hears_a_reading_quorum_first():
-    electorate = Electorate("hub-1", 2, 0.0)
-    electorate.observe([member(n) for n in NAMES], 0.0, 600.0)
-    assert electorate.earlier
-    hear(electorate, NAMES[1:3], ready=True)
-    hear(electorate, NAMES[3:], ready=False)
-    assert not electorate.settle(2.0, 600.0)
-    hear(electorate, NAMES[3:4], ready=True)
-    assert electorate.settle(2.0, 600.0)
+    voters = VoterSet("hub-1", 2, 0.0)
+    voters.observe([member(n) for n in NAMES], 0.0, 600.0)
+    assert voters.restart_seen
+    hear(voters, NAMES[1:3], ready=True)
+    hear(voters, NAMES[3:], ready=False)
+    assert not voters.update_ready(2.0, 600.0)
+    hear(voters, NAMES[3:4], ready=True)
+    assert voters.update_ready(2.0, 600.0)
 
 
 def test_dead_agent_keeps_its_seat_for_the_window():
-    electorate = seated()
+    voters = seated()
     alive = [member(n) for n in NAMES[:4]]
-    electorate.observe(alive, 10.0, 600.0)
-    electorate.observe(alive, 609.0, 600.0)
-    assert electorate.names() == set(NAMES)
-    electorate.observe(alive, 611.0, 600.0)
-    assert electorate.names() == set(NAMES[:4])
+    voters.observe(alive, 10.0, 600.0)
+    voters.observe(alive, 609.0, 600.0)
+    assert voters.names() == set(NAMES)
+    voters.observe(alive, 611.0, 600.0)
+    assert voters.names() == set(NAMES[:4])
 
 
 def test_agent_that_left_in_order_gives_up_its_seat_at_once():
-    electorate = seated()
-    electorate.leave("hub-5", 1)
-    electorate.observe([member(n) for n in NAMES], 10.0, 600.0)
-    assert "hub-5" not in electorate.names()
-    electorate.welcome("hub-5", 2)
-    assert "hub-5" in electorate.names()
+    voters = seated()
+    voters.remove_voter("hub-5", 1)
+    voters.observe([member(n) for n in NAMES], 10.0, 600.0)
+    assert "hub-5" not in voters.names()
+    voters.add_voter("hub-5", 2)
+    assert "hub-5" in voters.names()
 
 
 def heard_of_a_third():
     """An agent hears of hub-3 from hub-2 before hub-3 is announced to it."""
-    electorate = Electorate("hub-1", 102, 0.0)
-    electorate.observe([member("hub-1", 102), member("hub-2", 102)], 0.0, 600.0)
-    electorate.answered("hub-2", ready=False, earlier=False, others=NAMES[:3])
-    return electorate
+    voters = VoterSet("hub-1", 102, 0.0)
+    voters.observe([member("hub-1", 102), member("hub-2", 102)], 0.0, 600.0)
+    voters.record_sync("hub-2", ready=False, restart_seen=False, others=NAMES[:3])
+    return voters
 
 
 def test_agent_first_heard_of_from_another_is_no_return():
     # A service starts for the first time, and news of its agents comes by two ways.
     # Taken for a restart, the third agent's first announcement kept everyone from
     # voting, and every order with a key got "outcome unknown" for ten minutes.
-    electorate = heard_of_a_third()
-    electorate.observe([member(name, 102) for name in NAMES[:3]], 1.0, 600.0)
-    electorate.answered("hub-3", ready=False, earlier=False, others=NAMES[:3])
-    assert not electorate.earlier
-    assert electorate.settle(60.0, 600.0)
+    voters = heard_of_a_third()
+    voters.observe([member(name, 102) for name in NAMES[:3]], 1.0, 600.0)
+    voters.record_sync("hub-3", ready=False, restart_seen=False, others=NAMES[:3])
+    assert not voters.restart_seen
+    assert voters.update_ready(60.0, 600.0)
 
 
 def test_agent_that_came_back_is_a_return():
-    electorate = heard_of_a_third()
-    electorate.observe([member(name, 102) for name in NAMES[:3]], 1.0, 600.0)
-    electorate.observe([member("hub-3", 103)], 2.0, 600.0)
-    assert electorate.earlier
+    voters = heard_of_a_third()
+    voters.observe([member(name, 102) for name in NAMES[:3]], 1.0, 600.0)
+    voters.observe([member("hub-3", 103)], 2.0, 600.0)
+    assert voters.restart_seen
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -5,15 +5,15 @@
 import pytest
 from tornado.iostream import StreamClosedError
 
-from cornelspan_requests import claims, electorate
+from cornelspan_requests import claims, voters
 from http_fakes import Caller, fake_server, running_group
 
 
 @pytest.fixture(autouse=True)
 def quick_start(monkeypatch):
-    monkeypatch.setattr(electorate, "SETTLE_SECONDS", 0.1)
-    monkeypatch.setattr(claims, "SYNC_SECONDS", 0.1)
-    monkeypatch.setattr(claims, "QUORUM_SECONDS", 0.3)
+    monkeypatch.setattr(voters, "MIN_JOIN_SECONDS", 0.1)
+    monkeypatch.setattr(claims, "SYNC_INTERVAL_SECONDS", 0.1)
+    monkeypatch.setattr(claims, "QUORUM_TIMEOUT_SECONDS", 0.3)
 
 
 async def ask(group, name, body=b"x", key="k-1"):
