--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -31,9 +31,9 @@
 
 DEFAULT_PROFILE = Profile(name="default")
 
-LEAVE_STEP_SECONDS = 0.05
+LEAVE_POLL_SECONDS = 0.05
 FABRIC_GONE_SECONDS = 5.0
-RETIRE_SECONDS = 0.2
+RETIRE_FLUSH_SECONDS = 0.2
 
 log = get_log(__name__)
 
@@ -128,7 +128,7 @@
                         self._receive(peer, message)
         finally:
             router.parted(peer)
-            self.gateway.lost(peer.name)
+            self.gateway.peer_lost(peer.name)
 
     def _receive(self, peer: Peer, message: Message) -> None:
         """Take in a message that is not of the flow layer."""
@@ -157,7 +157,7 @@
             holder.hello = self.hello
         self.router.renew(incarnation)
 
-    def link_peers(self) -> None:
+    def connect_peers(self) -> None:
         """Keep a stream to each other agent of the service."""
         peers = self.members.of_service(self.settings.service)
         others = [peer for peer in peers if peer.name != self.settings.name]
@@ -174,7 +174,7 @@
         deadline = time.monotonic() + self.profile.drain_seconds
         await self._wait_for_flows(deadline)
         await self.gateway.drain(max(0.0, deadline - time.monotonic()))
-        await self._hand_over()
+        await self._hand_over_flows()
         report_last(self.gateway.objectives, self.settings, self.control.plane)
         self.control.leave()
         log.info("agent left", extra={"flows": len(self.flows.owned)})
@@ -185,22 +185,22 @@
         When a whole site stops, the fabric may go first. Its flows can't end in order
         any more, and waiting for them held the stop up for all of ``drain_seconds``.
         """
-        heard_at = time.monotonic()
+        connected_at = time.monotonic()
         while self.flows.owned and time.monotonic() < deadline:
             if self.fabrics.open:
-                heard_at = time.monotonic()
-            if time.monotonic() - heard_at > FABRIC_GONE_SECONDS:
+                connected_at = time.monotonic()
+            if time.monotonic() - connected_at > FABRIC_GONE_SECONDS:
                 return
-            await asyncio.sleep(LEAVE_STEP_SECONDS)
+            await asyncio.sleep(LEAVE_POLL_SECONDS)
 
-    async def _hand_over(self) -> None:
+    async def _hand_over_flows(self) -> None:
         """Give what is known of others' flows to their next homes, then say good-bye.
 
         This comes last, when no packet of a flow owned here is on its way any more. The
         others then need not wait until they suspect this agent.
         """
         self.router.retire()
-        await asyncio.sleep(RETIRE_SECONDS)
+        await asyncio.sleep(RETIRE_FLUSH_SECONDS)
         gone = Gone(self.settings.name, self.hello.incarnation)
         for peer in self.agents.open.values():
             peer.send(gone)
@@ -271,7 +271,7 @@
                 hello=state.hello,
                 announcement=state.announcement,
                 renew=state.renew,
-                on_members=state.link_peers,
+                on_members=state.connect_peers,
                 tls=tls.client,
             ) as state.control,
             serve_peers(
--- a/packages/cornelspan-daemon/src/cornelspan_daemon/main.py
+++ b/packages/cornelspan-daemon/src/cornelspan_daemon/main.py
@@ -23,9 +23,9 @@
     PassthroughBalancerSettings,
 )
 
-BAD_SETTINGS = 2
+EXIT_BAD_SETTINGS = 2
 Role = Literal["balancer", "agent", "passthrough-balancer", "passthrough-agent"]
-KINDS: dict[str, type[Checked]] = {
+SETTINGS_BY_ROLE: dict[str, type[Checked]] = {
     "balancer": BalancerSettings,
     "agent": AgentSettings,
     "passthrough-balancer": PassthroughBalancerSettings,
@@ -51,7 +51,7 @@
         """Run until a signal asks for a stop."""
         match load_settings(self.settings, BalancerSettings):
             case Ok(settings):
-                return run_secured(settings, run_balancer)
+                return run_with_tls(settings, run_balancer)
             case Err(error):
                 return report_error(str(error))
 
@@ -70,7 +70,7 @@
         """Run until a signal asks for a stop."""
         match load_settings(self.settings, AgentSettings):
             case Ok(settings):
-                return run_secured(settings, run_agent)
+                return run_with_tls(settings, run_agent)
             case Err(error):
                 return report_error(str(error))
 
@@ -88,7 +88,7 @@
 
     def __call__(self) -> int:
         """Report the first field at fault."""
-        match load_settings(self.settings, KINDS[self.role]):
+        match load_settings(self.settings, SETTINGS_BY_ROLE[self.role]):
             case Ok(_):
                 print(f"{self.settings}: good settings of a {self.role}")
                 return 0
@@ -98,13 +98,13 @@
 
 @cappa.command(name="cornelspand", help="The daemons of cornelspan.")
 @dataclass(frozen=True)
-class Root:
+class DaemonCommand:
     """The daemon's commands."""
 
     command: cappa.Subcommands[BalancerCommand | AgentCommand | CheckCommand]
 
 
-def run_secured(
+def run_with_tls(
     settings: DaemonType, run: Callable[[DaemonType, Tls], Coroutine[Any, Any, None]]
 ) -> int:
     """Open the TLS files that the settings name, and run a daemon with them."""
@@ -119,9 +119,9 @@
 def report_error(reason: str) -> int:
     """Say why settings are refused and return the exit code."""
     print(reason, file=sys.stderr)
-    return BAD_SETTINGS
+    return EXIT_BAD_SETTINGS
 
 
 def main() -> None:
     """Entry point of the ``cornelspand`` binary."""
-    sys.exit(cappa.invoke(Root))
+    sys.exit(cappa.invoke(DaemonCommand))
--- a/packages/cornelspan-requests/src/cornelspan_requests/backend.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/backend.py
@@ -21,7 +21,7 @@
 from tornado.tcpclient import TCPClient
 
 from cornelspan_common.settings import Address
-from cornelspan_requests.exchange import Request, end_to_end
+from cornelspan_requests.exchange import Request, end_to_end_headers
 from cornelspan_requests.outcomes import (
     DEADLINE_HEADER,
     NOT_RUN_HEADER,
@@ -33,7 +33,7 @@
 )
 
 SHED_STATUS = 503
-BODYLESS = (204, 304)
+BODYLESS_STATUSES = (204, 304)
 
 
 class AnswerSink(Protocol):
@@ -47,13 +47,13 @@
 
 
 @dataclass
-class _Reading(HTTPMessageDelegate):
+class _ResponseReader(HTTPMessageDelegate):
     """Passes an answer on to its sink, and notes how far it came."""
 
     sink: AnswerSink
     head_request: bool
     begun: bool = False
-    whole: bool = False
+    complete: bool = False
     shed: bool = False
     unframed: bool = False
     caller_gone: bool = False
@@ -68,14 +68,18 @@
             return
         self.status = start_line.code
         self.shed = is_shed(start_line.code, headers)
-        self.unframed = not self.head_request and not _framed(start_line.code, headers)
+        self.unframed = not self.head_request and not _is_framed(
+            start_line.code, headers
+        )
         if self.shed:
-            self.retry_after = _seconds(headers.get("Retry-After", ""))
+            self.retry_after = _parse_seconds(headers.get("Retry-After", ""))
             return
         if self.unframed:
             return
         headers[OUTCOME_HEADER] = RequestOutcome.RAN.value
-        head = AnswerHead(start_line.code, start_line.reason, end_to_end(headers))
+        head = AnswerHead(
+            start_line.code, start_line.reason, end_to_end_headers(headers)
+        )
         self.begun = True
         self.caller_gone = not await self.sink.start(head)
 
@@ -86,7 +90,7 @@
 
     def finish(self) -> None:
         """Note that the answer is whole."""
-        self.whole = self.status >= 200
+        self.complete = self.status >= 200
 
     def on_connection_close(self) -> None:
         """Leave the answer as broken as it is."""
@@ -140,23 +144,23 @@
     )
     stream.set_nodelay(True)
     connection = HTTP1Connection(stream, True, parameters)
-    reading = _Reading(sink, request.method == "HEAD")
+    reader = _ResponseReader(sink, request.method == "HEAD")
     line = RequestStartLine(request.method, request.target, "HTTP/1.1")
     headers = _request_headers(request)
     try:
         await connection.write_headers(line, headers, request.body or None)
         connection.finish()
-        await connection.read_response(reading)
+        await connection.read_response(reader)
     except StreamClosedError:
         pass
-    if reading.caller_gone:
+    if reader.caller_gone:
         return Err(Failure(RequestOutcome.UNKNOWN, Reason.CANCELLED))
-    if reading.shed:
-        failure = Failure(RequestOutcome.NOT_RUN, Reason.SHED, reading.retry_after)
+    if reader.shed:
+        failure = Failure(RequestOutcome.NOT_RUN, Reason.SHED, reader.retry_after)
         return Err(failure)
-    if not reading.whole or reading.unframed:
+    if not reader.complete or reader.unframed:
         return Err(Failure(RequestOutcome.UNKNOWN, Reason.BROKEN))
-    return Ok(reading.status)
+    return Ok(reader.status)
 
 
 def _request_headers(request: Request) -> HTTPHeaders:
@@ -172,14 +176,14 @@
     return headers
 
 
-def _framed(status: int, headers: HTTPHeaders) -> bool:
+def _is_framed(status: int, headers: HTTPHeaders) -> bool:
     """Whether an answer's end can be told from a broken connection."""
     return (
-        status in BODYLESS
+        status in BODYLESS_STATUSES
         or "Content-Length" in headers
         or "chunked" in headers.get("Transfer-Encoding", "").lower()
     )
 
 
-def _seconds(text: str) -> float:
+def _parse_seconds(text: str) -> float:
     return float(text) if text.isdigit() else 0.0
--- a/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
@@ -21,8 +21,8 @@
 from cornelspan_common.logs import get_log
 from cornelspan_requests.outcomes import AnswerHead, Failure, failure_head
 
-HEADER_BYTES = 65536
-HOP_HEADERS = frozenset(
+MAX_HEADER_BYTES = 65536
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -62,17 +62,17 @@
 
 @dataclass
 class Answer:
-    """The way back to a caller, for one request.
+    """Sends the answer to one request back to its caller.
 
-    ``begun`` tells whether bytes of an answer have left; from then on the caller gets
-    this answer whole, or a cut connection, never a second answer. With ``last`` the
-    caller is told that the flow ends after this answer.
+    ``begun`` is set when the first bytes of an answer are sent. From then on the caller
+    gets either the whole answer or a closed connection, never a second answer. With
+    ``close_after`` the answer carries ``Connection: close`` and the flow ends after it.
     """
 
     connection: HTTP1Connection
     head_only: bool
     begun: bool = False
-    last: bool = False
+    close_after: bool = False
 
     async def start(self, head: AnswerHead) -> bool:
         """Send status and headers.
@@ -84,10 +84,10 @@
         headers = HTTPHeaders()
         for name, value in head.headers:
             headers.add(name, value)
-        if self.last:
+        if self.close_after:
             headers["Connection"] = "close"
         line = ResponseStartLine("HTTP/1.1", head.status, head.reason)
-        return await _written(self.connection.write_headers(line, headers))
+        return await _was_sent(self.connection.write_headers(line, headers))
 
     async def write(self, chunk: bytes) -> bool:
         """Send a part of the body, and wait until the caller takes more.
@@ -97,16 +97,16 @@
         """
         if not chunk or self.head_only:
             return True
-        return await _written(self.connection.write(chunk))
+        return await _was_sent(self.connection.write(chunk))
 
     def finish(self) -> None:
         """End an answer that is whole."""
         try:
             self.connection.finish()
         except HTTPOutputError as error:
-            self.cut(str(error))
+            self.abort(str(error))
 
-    def cut(self, reason: str) -> None:
+    def abort(self, reason: str) -> None:
         """Close the connection, so that what was sent can't be taken for the whole.
 
         A caller that is still there gets half an answer, which is worth a line; one
@@ -119,7 +119,7 @@
     async def send_failure(self, failure: Failure) -> None:
         """Answer in the agent's own name, or cut an answer that has begun."""
         if self.begun:
-            self.cut(f"{failure.outcome.value}: {failure.reason.value}")
+            self.abort(f"{failure.outcome.value}: {failure.reason.value}")
             return
         text = f"{failure.outcome}: {failure.reason}\n".encode()
         await self.start(failure_head(failure, length=len(text)))
@@ -127,27 +127,31 @@
         self.finish()
 
 
-async def _written(written: Awaitable[None]) -> bool:
+async def _was_sent(sending: Awaitable[None]) -> bool:
     try:
-        await written
+        await sending
     except StreamClosedError:
         return False
     return True
 
 
-Respond = Callable[["Incoming", Answer], Awaitable[None]]
+Respond = Callable[["IncomingRequest", Answer], Awaitable[None]]
 
 
 @dataclass
-class Incoming(HTTPMessageDelegate):
-    """Collects one request; ``whole`` resolves when it is there, or never will be."""
+class IncomingRequest(HTTPMessageDelegate):
+    """Collects one request from a flow.
+
+    ``complete`` resolves to True once all of it has been read, to False if the
+    connection closes before.
+    """
 
     body_limit: int
     line: RequestStartLine | None = None
     headers: HTTPHeaders = field(default_factory=HTTPHeaders)
     body: bytearray = field(default_factory=bytearray)
     too_large: bool = False
-    whole: asyncio.Future[bool] = field(
+    complete: asyncio.Future[bool] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
 
@@ -170,15 +174,15 @@
 
     def finish(self) -> None:
         """Note that the request is whole."""
-        self._settle(True)
+        self._resolve(True)
 
     def on_connection_close(self) -> None:
         """Note that the rest will not come."""
-        self._settle(False)
+        self._resolve(False)
 
-    def _settle(self, whole: bool) -> None:
-        if not self.whole.done():
-            self.whole.set_result(whole)
+    def _resolve(self, complete: bool) -> None:
+        if not self.complete.done():
+            self.complete.set_result(complete)
 
 
 async def serve_requests(
@@ -195,7 +199,7 @@
         idle_seconds: How long the flow may wait between two requests.
     """
     parameters = HTTP1ConnectionParameters(
-        max_header_size=HEADER_BYTES,
+        max_header_size=MAX_HEADER_BYTES,
         header_timeout=idle_seconds,
         body_timeout=idle_seconds,
         # Reading a body somewhat over the limit lets the caller hear 413, not a cut.
@@ -203,14 +207,14 @@
     )
     while not stream.closed():
         connection = HTTP1Connection(stream, False, parameters)
-        incoming = Incoming(body_limit)
+        incoming = IncomingRequest(body_limit)
         reading = asyncio.ensure_future(connection.read_response(incoming))
         try:
-            if not await _begun(incoming, reading):
+            if not await _wait_for_request(incoming, reading):
                 break
             answer = Answer(connection, head_only=incoming.line.method == "HEAD")
-            await _answer(answer, incoming, respond)
-            if not await reading or answer.last:
+            await _answer_request(answer, incoming, respond)
+            if not await reading or answer.close_after:
                 break
         except StreamClosedError:
             break
@@ -219,16 +223,20 @@
     stream.close()
 
 
-async def _begun(incoming: Incoming, reading: asyncio.Future) -> bool:
+async def _wait_for_request(incoming: IncomingRequest, reading: asyncio.Future) -> bool:
     """Wait for a whole request; False if the flow ends before."""
-    await asyncio.wait({incoming.whole, reading}, return_when=asyncio.FIRST_COMPLETED)
-    if incoming.whole.done():
-        return incoming.whole.result()
+    await asyncio.wait(
+        {incoming.complete, reading}, return_when=asyncio.FIRST_COMPLETED
+    )
+    if incoming.complete.done():
+        return incoming.complete.result()
     reading.exception()
     return False
 
 
-async def _answer(answer: Answer, incoming: Incoming, respond: Respond) -> None:
+async def _answer_request(
+    answer: Answer, incoming: IncomingRequest, respond: Respond
+) -> None:
     connection = answer.connection
     work = asyncio.ensure_future(respond(incoming, answer))
     connection.set_close_callback(work.cancel)
@@ -238,24 +246,26 @@
     try:
         await work
     except asyncio.CancelledError:
-        answer.cut("cancelled")
+        answer.abort("cancelled")
         if not connection.stream.closed() or asyncio.current_task().cancelling():
             work.cancel()
             raise
     except Exception as error:
-        answer.cut(repr(error))
+        answer.abort(repr(error))
         raise
 
 
-def end_to_end(headers: HTTPHeaders) -> tuple[tuple[str, str], ...]:
+def end_to_end_headers(headers: HTTPHeaders) -> tuple[tuple[str, str], ...]:
     """Return the headers that concern the ends, not one connection (RFC 9110, 7.6.1).
 
     ``Connection`` may name more of the latter.
     """
-    named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
-    left_out = HOP_HEADERS | named
+    connection_headers = {
+        name.strip().lower() for name in headers.get("Connection", "").split(",")
+    }
+    excluded = HOP_BY_HOP_HEADERS | connection_headers
     return tuple(
         (name, value)
         for name, value in headers.get_all()
-        if name.lower() not in left_out
+        if name.lower() not in excluded
     )
--- a/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
@@ -38,9 +38,9 @@
 from cornelspan_requests.endpoint import SERVER_ERROR, endpoint_of
 from cornelspan_requests.exchange import (
     Answer,
-    Incoming,
+    IncomingRequest,
     Request,
-    end_to_end,
+    end_to_end_headers,
     serve_requests,
 )
 from cornelspan_requests.handoff import Handoffs
@@ -61,7 +61,7 @@
 __all__ = ["Gateway", "Peers", "gateway"]
 
 LOWEST_PRIORITY = 9
-WATCH_SECONDS = 0.25
+MEMBER_CHECK_SECONDS = 0.25
 DEFAULT_PROFILE = Profile(name="default")
 KEY_MESSAGES = (
     KeyClaim,
@@ -129,17 +129,29 @@
     def register(self, metrics: Metrics) -> None:
         """Offer what is counted here as metrics."""
         admission = self.dispatcher.endpoint.admission
-        shed, placed = admission.counts, self.dispatcher.counts
+        admission_counts, dispatch_counts = admission.counts, self.dispatcher.counts
         key_store = self.claims.key_store
         metrics.gauge("requests_running", "Slots in use", lambda: admission.running)
         metrics.gauge("requests_waiting", "In queue", lambda: len(admission.queue))
-        metrics.count("requests_admitted", "Got a slot", lambda: shed.admitted)
-        metrics.count("requests_shed_full", "Queue full", lambda: shed.queue_full)
-        metrics.count("requests_shed_late", "Too late", lambda: shed.deadline)
-        metrics.count("requests_shed_caller", "Over share", lambda: shed.caller_share)
-        metrics.count("requests_moved", "Handed over", lambda: placed.moved)
-        metrics.count("requests_retried", "Tried again", lambda: placed.retried)
-        metrics.count("retries_denied", "Over budget", lambda: placed.out_of_budget)
+        metrics.count(
+            "requests_admitted", "Got a slot", lambda: admission_counts.admitted
+        )
+        metrics.count(
+            "requests_shed_full", "Queue full", lambda: admission_counts.queue_full
+        )
+        metrics.count(
+            "requests_shed_late", "Too late", lambda: admission_counts.deadline
+        )
+        metrics.count(
+            "requests_shed_caller", "Over share", lambda: admission_counts.caller_share
+        )
+        metrics.count("requests_moved", "Handed over", lambda: dispatch_counts.moved)
+        metrics.count(
+            "requests_retried", "Tried again", lambda: dispatch_counts.retried
+        )
+        metrics.count(
+            "retries_denied", "Over budget", lambda: dispatch_counts.out_of_budget
+        )
         metrics.gauge("keys_held", "Keys remembered", lambda: len(key_store.records))
         metrics.count("keys_refused", "No room for a key", lambda: key_store.refused)
 
@@ -150,14 +162,14 @@
             stream: The flow's bytes.
             caller: Who is calling, for fairness: its address without the port.
         """
-        over = len(self.streams) >= self.settings.connections
+        over_limit = len(self.streams) >= self.settings.connections
         profile = self.profile
 
-        async def respond(incoming: Incoming, answer: Answer) -> None:
-            answer.last = over or self.dispatcher.leaving
-            await self._respond(incoming, answer, caller, over=over)
+        async def respond(incoming: IncomingRequest, answer: Answer) -> None:
+            answer.close_after = over_limit or self.dispatcher.leaving
+            await self._respond(incoming, answer, caller, over_limit=over_limit)
 
-        self.refused_connections += over
+        self.refused_connections += over_limit
         self.streams.add(stream)
         try:
             await serve_requests(
@@ -177,9 +189,9 @@
         else:
             self.dispatcher.handoffs.receive(sender, message)
 
-    def lost(self, name: str) -> None:
+    def peer_lost(self, name: str) -> None:
         """Note that the stream to another agent has ended."""
-        self.dispatcher.handoffs.lost(name)
+        self.dispatcher.handoffs.peer_lost(name)
 
     def leave(self) -> None:
         """Admit nothing new here; requests on the flows still open go to others."""
@@ -206,7 +218,7 @@
                 self.dispatcher.endpoint.end_excess_ejection(
                     self.settings.name, self.profile
                 )
-                await asyncio.sleep(WATCH_SECONDS)
+                await asyncio.sleep(MEMBER_CHECK_SECONDS)
         finally:
             joining.cancel()
 
@@ -216,14 +228,21 @@
         self.claims.voters.observe(members, now, self._voter_window())
 
     async def _respond(
-        self, incoming: Incoming, answer: Answer, caller: str, *, over: bool
+        self,
+        incoming: IncomingRequest,
+        answer: Answer,
+        caller: str,
+        *,
+        over_limit: bool,
     ) -> None:
         """Answer one request, and count it against the service's objective."""
         profile = self.profile
         request = request_of(incoming, profile, caller, self.loop.time())
         self.active += 1
         try:
-            result = await self._result(incoming, request, answer, profile, over=over)
+            result = await self._result(
+                incoming, request, answer, profile, over_limit=over_limit
+            )
         finally:
             self.active -= 1
         match result:
@@ -243,16 +262,16 @@
 
     async def _result(
         self,
-        incoming: Incoming,
+        incoming: IncomingRequest,
         request: Request,
         answer: Answer,
         profile: Profile,
         *,
-        over: bool,
+        over_limit: bool,
     ) -> Result[int, Failure]:
         if incoming.too_large:
             return Err(Failure(RequestOutcome.NOT_RUN, Reason.TOO_LARGE))
-        if over:
+        if over_limit:
             reason = Reason.CONNECTIONS
             return Err(Failure(RequestOutcome.NOT_RUN, reason, MIN_RETRY_AFTER_SECONDS))
         if not needs_claim(request):
@@ -281,7 +300,7 @@
 
 
 def request_of(
-    incoming: Incoming, profile: Profile, caller: str, now: float
+    incoming: IncomingRequest, profile: Profile, caller: str, now: float
 ) -> Request:
     """Return the request with its deadline and priority.
 
@@ -290,17 +309,17 @@
     """
     headers = incoming.headers
     allowed = profile.requests.deadline_seconds
-    asked = _number(headers.get(DEADLINE_HEADER, ""))
+    asked = _parse_number(headers.get(DEADLINE_HEADER, ""))
     if asked is not None:
         allowed = min(allowed, asked / 1000)
-    wanted = _number(headers.get(PRIORITY_HEADER, ""))
+    wanted = _parse_number(headers.get(PRIORITY_HEADER, ""))
     priority = profile.priority
     if wanted is not None:
         priority = max(priority, min(wanted, LOWEST_PRIORITY))
     return Request(
         incoming.line.method,
         incoming.line.path,
-        end_to_end(headers),
+        end_to_end_headers(headers),
         bytes(incoming.body),
         caller,
         now,
@@ -310,7 +329,7 @@
     )
 
 
-def _number(text: str) -> int | None:
+def _parse_number(text: str) -> int | None:
     return int(text) if text.isdecimal() and len(text) < 10 else None
 
 
@@ -332,12 +351,12 @@
         peers: The other agents of the service.
         incarnation: The life of this agent, as its hello says; now if not given.
     """
-    life = incarnation or time.time_ns() // 1_000_000
+    own_incarnation = incarnation or time.time_ns() // 1_000_000
     async with task_group() as tasks:
-        held = Gateway(settings, configuration, members, peers, tasks, life)
-        tasks.start(held.watch_members(), name="watch members")
+        state = Gateway(settings, configuration, members, peers, tasks, own_incarnation)
+        tasks.start(state.watch_members(), name="watch members")
         try:
-            yield held
+            yield state
         finally:
-            for stream in list(held.streams):
+            for stream in list(state.streams):
                 stream.close()
--- a/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
@@ -31,33 +31,37 @@
 
 PART_BYTES = 65536
 WINDOW_BYTES = 262144
-GRACE_SECONDS = 0.25
+ANSWER_GRACE_SECONDS = 0.25
 
 Send = Callable[[str, Message], bool]
 Run = Callable[[Request, AnswerSink], Awaitable[Result[int, Failure]]]
-Back = AnswerStart | AnswerPart | AnswerFailed | None
+AnswerMessage = AnswerStart | AnswerPart | AnswerFailed | None
 
 
 @dataclass
-class Outgoing:
-    """A request that another agent has; ``back`` brings its answer, None its loss."""
+class SentRequest:
+    """A request that was handed off to another agent.
+
+    ``answer_messages`` gets the messages of its answer, and None if the stream to the
+    agent is lost.
+    """
 
     name: str
-    back: asyncio.Queue[Back] = field(default_factory=asyncio.Queue)
+    answer_messages: asyncio.Queue[AnswerMessage] = field(default_factory=asyncio.Queue)
 
 
 @dataclass
-class Incoming:
+class ReceivedRequest:
     """A request of another agent: first its body, then its run and the answer."""
 
     start: RequestStart
     sender: str
     send: Send
     body: bytearray = field(default_factory=bytearray)
-    work: asyncio.Task | None = None
+    task: asyncio.Task | None = None
     sent: int = 0
-    under_way: int = 0
-    room: asyncio.Event = field(default_factory=asyncio.Event)
+    unacknowledged: int = 0
+    window_open: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def start_answer(self, head: AnswerHead) -> bool:
         """Send status and headers back."""
@@ -69,10 +73,10 @@
         """Send a part of the body back, and wait while too much is under way."""
         for start in range(0, len(chunk), PART_BYTES):
             part = chunk[start : start + PART_BYTES]
-            while self.under_way >= WINDOW_BYTES:
-                self.room.clear()
-                await self.room.wait()
-            self.under_way += len(part)
+            while self.unacknowledged >= WINDOW_BYTES:
+                self.window_open.clear()
+                await self.window_open.wait()
+            self.unacknowledged += len(part)
             if not self._send_part(part, last=False):
                 return False
         return True
@@ -86,17 +90,17 @@
         self.sent += len(part)
         return self.send(self.sender, message)
 
-    def taken(self, size: int) -> None:
+    def acknowledge(self, size: int) -> None:
         """Note that the caller has taken more."""
-        self.under_way -= size
-        self.room.set()
+        self.unacknowledged -= size
+        self.window_open.set()
 
 
 @dataclass(frozen=True, slots=True)
-class _BackSink:
+class _PeerSink:
     """The answer sink of a request that came from another agent."""
 
-    incoming: Incoming
+    incoming: ReceivedRequest
 
     async def start(self, head: AnswerHead) -> bool:
         return await self.incoming.start_answer(head)
@@ -113,8 +117,8 @@
     run: Run
     tasks: Tasks
     number: int = 0
-    outgoing: dict[int, Outgoing] = field(default_factory=dict)
-    incoming: dict[tuple[str, int], Incoming] = field(default_factory=dict)
+    outgoing: dict[int, SentRequest] = field(default_factory=dict)
+    incoming: dict[tuple[str, int], ReceivedRequest] = field(default_factory=dict)
 
     async def send(
         self, name: str, request: Request, sink: AnswerSink
@@ -122,48 +126,48 @@
         """Have another agent run a request, and pass its answer to a sink."""
         self.number += 1
         number = self.number
-        outgoing = Outgoing(name)
+        outgoing = SentRequest(name)
         self.outgoing[number] = outgoing
-        settled = False
+        finished = False
         try:
             if not await self._send_request(name, number, request):
                 # The receiver runs nothing before the last part, which never left.
                 return Err(Failure(RequestOutcome.NOT_RUN, Reason.REFUSED))
-            async with asyncio.timeout_at(request.deadline + GRACE_SECONDS):
+            async with asyncio.timeout_at(request.deadline + ANSWER_GRACE_SECONDS):
                 result = await self._pass_answer(outgoing, number, sink)
-                settled = True
+                finished = True
                 return result
         except TimeoutError:
             return Err(Failure(RequestOutcome.UNKNOWN, Reason.DEADLINE))
         finally:
             del self.outgoing[number]
-            if not settled:
+            if not finished:
                 self.send_message(name, RequestCancel(number))
 
     def receive(self, sender: str, message: Message) -> None:
         """Take a message about a request from another agent."""
         match message:
             case RequestStart(number):
-                incoming = Incoming(message, sender, self.send_message)
+                incoming = ReceivedRequest(message, sender, self.send_message)
                 self.incoming[sender, number] = incoming
             case RequestPart(number):
-                self._take_part(sender, message)
+                self._receive_part(sender, message)
             case RequestCancel(number):
                 self._cancel(sender, number)
             case AnswerTaken(number, size):
                 incoming = self.incoming.get((sender, number))
                 if incoming is not None:
-                    incoming.taken(size)
+                    incoming.acknowledge(size)
             case AnswerStart(number) | AnswerPart(number) | AnswerFailed(number):
                 outgoing = self.outgoing.get(number)
                 if outgoing is not None and outgoing.name == sender:
-                    outgoing.back.put_nowait(message)
+                    outgoing.answer_messages.put_nowait(message)
 
-    def lost(self, name: str) -> None:
+    def peer_lost(self, name: str) -> None:
         """Note that the stream to an agent is gone, and all under way with it."""
         for outgoing in self.outgoing.values():
             if outgoing.name == name:
-                outgoing.back.put_nowait(None)
+                outgoing.answer_messages.put_nowait(None)
         for sender, number in list(self.incoming):
             if sender == name:
                 self._cancel(sender, number)
@@ -193,12 +197,12 @@
         return True
 
     async def _pass_answer(
-        self, outgoing: Outgoing, number: int, sink: AnswerSink
+        self, outgoing: SentRequest, number: int, sink: AnswerSink
     ) -> Result[int, Failure]:
         status = passed = 0
         while True:
             wanted = True
-            match await outgoing.back.get():
+            match await outgoing.answer_messages.get():
                 case None:
                     return Err(Failure(RequestOutcome.UNKNOWN, Reason.BROKEN))
                 case AnswerFailed(_, outcome, reason, retry_after):
@@ -220,25 +224,25 @@
                 self.send_message(outgoing.name, RequestCancel(number))
                 return Err(Failure(RequestOutcome.UNKNOWN, Reason.CANCELLED))
 
-    def _take_part(self, sender: str, part: RequestPart) -> None:
+    def _receive_part(self, sender: str, part: RequestPart) -> None:
         incoming = self.incoming.get((sender, part.number))
-        if incoming is None or incoming.work is not None:
+        if incoming is None or incoming.task is not None:
             return
         in_order = part.offset == len(incoming.body)
         incoming.body += part.body
-        whole = in_order and len(incoming.body) == incoming.start.length
-        if part.last and whole:
+        complete = in_order and len(incoming.body) == incoming.start.length
+        if part.last and complete:
             work = self._run(incoming)
             name = f"request {part.number} of {sender}"
-            incoming.work = self.tasks.start(work, name=name)
+            incoming.task = self.tasks.start(work, name=name)
         elif part.last or not in_order or len(incoming.body) > incoming.start.length:
             # A part went down with a stream. Run short, it would be another request.
             del self.incoming[sender, part.number]
             self._fail(incoming, Failure(RequestOutcome.NOT_RUN, Reason.BROKEN))
 
-    async def _run(self, incoming: Incoming) -> None:
+    async def _run(self, incoming: ReceivedRequest) -> None:
         try:
-            result = await self.run(_request_from(incoming), _BackSink(incoming))
+            result = await self.run(_request_from(incoming), _PeerSink(incoming))
             match result:
                 case Ok(_):
                     incoming.end_answer()
@@ -247,7 +251,7 @@
         finally:
             self.incoming.pop((incoming.sender, incoming.start.number), None)
 
-    def _fail(self, incoming: Incoming, failure: Failure) -> None:
+    def _fail(self, incoming: ReceivedRequest, failure: Failure) -> None:
         message = AnswerFailed(
             incoming.start.number,
             failure.outcome.value,
@@ -258,11 +262,11 @@
 
     def _cancel(self, sender: str, number: int) -> None:
         incoming = self.incoming.pop((sender, number), None)
-        if incoming is not None and incoming.work is not None:
-            incoming.work.cancel()
+        if incoming is not None and incoming.task is not None:
+            incoming.task.cancel()
 
 
-def _request_from(incoming: Incoming) -> Request:
+def _request_from(incoming: ReceivedRequest) -> Request:
     now = asyncio.get_running_loop().time()
     start = incoming.start
     return Request(
--- a/packages/cornelspan-requests/src/cornelspan_requests/objectives.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/objectives.py
@@ -19,23 +19,24 @@
 from cornelspan_control.profiles import Objective
 
 HISTOGRAM_SECONDS = 3600
-HIGHEST_MICROSECONDS = 120_000_000
-DIGITS = 2
+MAX_MICROSECONDS = 120_000_000
+HISTOGRAM_DIGITS = 2
 
 
 class ObjectiveCounts:
     """Counts by minute, kept until the platform's store has them.
 
-    The relay balancer that collects them may die before it has written them. So an
-    agent sends every minute after the last sealed one again, for up to
-    ``KEPT_MINUTES``; a longer outage of the store loses the oldest, counted in
-    ``lost_minutes``. ``life`` stays when the agent announces itself under a new
-    incarnation, or the minutes that were sealed under the old one would count twice.
+    The relay balancer that collects the counts may die before it has written them to
+    the store. So each report repeats all minutes after the last sealed one, for up to
+    ``KEPT_MINUTES``. A longer outage of the store loses the oldest minutes, which are
+    counted in ``lost_minutes``. ``counter_epoch`` identifies this set of counters. It
+    stays the same when the agent announces itself under a new incarnation; otherwise
+    minutes that were sealed under the old one would count twice.
     """
 
     def __init__(self, *, clock: Callable[[], float] = time.time) -> None:
         self.clock = clock
-        self.life = int(clock() * 1000)
+        self.counter_epoch = int(clock() * 1000)
         self.minutes: dict[int, list[int]] = {}
         self.sealed = 0
         self.good = 0
@@ -58,7 +59,7 @@
         self.good += good
         self.bad += not good
         self._record_latency(seconds)
-        self._forget_old()
+        self._drop_old_minutes()
 
     def seal(self, minute: int) -> None:
         """Forget minutes that the store has."""
@@ -80,9 +81,11 @@
         )
         latencies = self.latencies.encode()
         complete = self._minute() if last else self._minute() - 1
-        return ServiceCounts(agent, self.life, service, complete, minutes, latencies)
+        return ServiceCounts(
+            agent, self.counter_epoch, service, complete, minutes, latencies
+        )
 
-    def _forget_old(self) -> None:
+    def _drop_old_minutes(self) -> None:
         oldest = self._minute() - KEPT_MINUTES
         for number in [number for number in self.minutes if number <= oldest]:
             del self.minutes[number]
@@ -96,8 +99,8 @@
             self.latencies = _new_histogram()
             self.histogram_started = self.clock()
         microseconds = max(1, int(seconds * 1_000_000))
-        self.latencies.record_value(min(microseconds, HIGHEST_MICROSECONDS))
+        self.latencies.record_value(min(microseconds, MAX_MICROSECONDS))
 
 
 def _new_histogram() -> HdrHistogram:
-    return HdrHistogram(1, HIGHEST_MICROSECONDS, DIGITS)
+    return HdrHistogram(1, MAX_MICROSECONDS, HISTOGRAM_DIGITS)
--- a/tests/http_fakes.py
+++ b/tests/http_fakes.py
@@ -191,7 +191,7 @@
         task.cancel()
         await asyncio.wait([task])
         for held in self.gateways.values():
-            held.lost(name)
+            held.peer_lost(name)
 
     async def ready(self):
         while not all(g.claims.voters.ready for g in self.gateways.values()):
