--- a/tests/http_fakes.py
+++ b/tests/http_fakes.py
@@ -38,7 +38,7 @@
     runs: list[str] = field(default_factory=list)
     cancelled: int = 0
     running: int = 0
-    most: int = 0
+    max_running: int = 0
     headers: list = field(default_factory=list)
     behave: object = None
 
@@ -57,7 +57,7 @@
             return
         server.headers.append(dict(self.request.headers))
         server.running += 1
-        server.most = max(server.most, server.running)
+        server.max_running = max(server.max_running, server.running)
         try:
             await asyncio.wait_for(self.gone.wait(), server.seconds)
             server.cancelled += 1
@@ -111,8 +111,8 @@
 async def running_gateway(port, *, profile=None, slots=2, connections=2000):
     settings = settings_of("hub-1", port, slots=slots, connections=connections)
     configuration = configuration_of(profile)
-    async with gateway(settings, configuration, Members(), Peers()) as held:
-        yield held
+    async with gateway(settings, configuration, Members(), Peers()) as instance:
+        yield instance
 
 
 class Group:
@@ -143,18 +143,20 @@
             message = msgspec.msgpack.decode(packed, type=AnyMessage)
             self.gateways[to].receive(sender, message)
 
-    def announce(self, name, life):
+    def announce(self, name, incarnation):
         self.members.announce(
-            Announce(name, "agent", "chuo-hall", life, HOST, 1, SERVICE, 1.0, 2, False)
+            Announce(
+                name, "agent", "chuo-hall", incarnation, HOST, 1, SERVICE, 1.0, 2, False
+            )
         )
 
     def share_loads(self):
-        for name, held in self.gateways.items():
-            own = held.own_load() or OwnLoad(slots=0, running=0)
+        for name, instance in self.gateways.items():
+            own = instance.own_load() or OwnLoad(slots=0, running=0)
             now = (own.slots, own.running, own.waiting, 0, own.mean_seconds)
             load = Load(SERVICE, name, 1, *now)
             for other in self.gateways.values():
-                if other is not held:
+                if other is not instance:
                     other.peers.loads.update(load)
 
     async def share_loads_often(self):
@@ -162,24 +164,24 @@
             self.share_loads()
             await asyncio.sleep(0.005)
 
-    async def start(self, name, port, *, life=1, profile=None, slots=2):
+    async def start(self, name, port, *, incarnation=1, profile=None, slots=2):
         """Start an agent; it ends with ``kill`` or with the group."""
         started = asyncio.Event()
         stop = asyncio.Event()
 
-        async def live():
+        async def run():
             settings = settings_of(name, port, slots=slots)
             configuration = configuration_of(profile)
             peers = self.peers_of(name)
             async with gateway(
-                settings, configuration, self.members, peers, incarnation=life
-            ) as held:
-                self.gateways[name] = held
+                settings, configuration, self.members, peers, incarnation=incarnation
+            ) as instance:
+                self.gateways[name] = instance
                 started.set()
                 await stop.wait()
 
-        self.announce(name, life)
-        self.tasks[name] = (asyncio.create_task(live()), stop)
+        self.announce(name, incarnation)
+        self.tasks[name] = (asyncio.create_task(run()), stop)
         await started.wait()
         self.share_loads()
         return self.gateways[name]
@@ -190,8 +192,8 @@
         task, _ = self.tasks.pop(name)
         task.cancel()
         await asyncio.wait([task])
-        for held in self.gateways.values():
-            held.peer_lost(name)
+        for instance in self.gateways.values():
+            instance.peer_lost(name)
 
     async def ready(self):
         while not all(g.claims.voters.ready for g in self.gateways.values()):
@@ -217,10 +219,12 @@
 class Caller:
     """A raw HTTP client on one end of a socket pair."""
 
-    def __init__(self, held, name="10.0.0.7"):
+    def __init__(self, instance, name="10.0.0.7"):
         ours, theirs = socket.socketpair()
         self.stream = IOStream(ours)
-        self.task = asyncio.ensure_future(held.handle_stream(IOStream(theirs), name))
+        self.task = asyncio.ensure_future(
+            instance.handle_stream(IOStream(theirs), name)
+        )
 
     async def send(self, method="POST", path="/order", body=b"", **headers):
         lines = [f"{method} {path} HTTP/1.1", "Host: hub"]
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -44,18 +44,18 @@
 
 
 @dataclass
-class World:
+class Simulation:
     """All agents and servers of one seeded run, and what has really happened."""
 
     seed: int
     size: int
     agents: dict = field(default_factory=dict)
-    lives: Counter = field(default_factory=Counter)
+    incarnations: Counter = field(default_factory=Counter)
     cut: set = field(default_factory=set)
     runs: Counter = field(default_factory=Counter)
-    told: Counter = field(default_factory=Counter)
-    lies: list = field(default_factory=list)
-    ends: dict = field(default_factory=dict)
+    outcomes: Counter = field(default_factory=Counter)
+    false_not_run: list = field(default_factory=list)
+    last_arrival: dict = field(default_factory=dict)
 
     def __post_init__(self):
         self.random = random.Random(self.seed)
@@ -64,16 +64,27 @@
 
     def start(self, name):
         """Start an agent with an empty memory; others hear of it one by one."""
-        self.lives[name] += 1
-        life = self.lives[name]
-        agent = Life(self, name, life)
+        self.incarnations[name] += 1
+        incarnation = self.incarnations[name]
+        agent = AgentIncarnation(self, name, incarnation)
         self.agents[name] = agent
-        announced = Announce(name, "agent", "d", life, "h", 1, SERVICE, 1.0, 2, False)
+        announced = Announce(
+            name, "agent", "d", incarnation, "h", 1, SERVICE, 1.0, 2, False
+        )
         agent.members.announce(announced)
         for other in list(self.agents.values()):
             for one, known in ((other, agent), (agent, other)):
                 about = Announce(
-                    known.name, "agent", "d", known.life, "h", 1, SERVICE, 1.0, 2, False
+                    known.name,
+                    "agent",
+                    "d",
+                    known.incarnation,
+                    "h",
+                    1,
+                    SERVICE,
+                    1.0,
+                    2,
+                    False,
                 )
                 delay = self.random.uniform(0, 0.05 if self.loop.time() < 1001 else 1)
                 self.loop.call_later(delay, one.members.announce, about)
@@ -85,52 +96,52 @@
         agent.end()
         for other in self.agents.values():
             delay = self.random.uniform(0.1, 3)
-            self.loop.call_later(delay, other.members.remove, name, agent.life)
+            self.loop.call_later(delay, other.members.remove, name, agent.incarnation)
 
     def send(self, sender, to, message):
         """Send in order and late; False if there is no stream."""
         receiver = self.agents.get(to)
-        if receiver is None or sender.ended or self.parted(sender.name, to):
+        if receiver is None or sender.ended or self.is_cut(sender.name, to):
             return False
-        link = (sender.name, sender.life, to, receiver.life)
+        link = (sender.name, sender.incarnation, to, receiver.incarnation)
         at = self.loop.time() + self.random.expovariate(1 / 0.004)
-        self.ends[link] = at = max(at, self.ends.get(link, 0) + 1e-6)
+        self.last_arrival[link] = at = max(at, self.last_arrival.get(link, 0) + 1e-6)
         self.loop.call_at(at, self.arrive, sender, receiver, message)
         return True
 
     def arrive(self, sender, receiver, message):
-        if not receiver.ended and not self.parted(sender.name, receiver.name):
+        if not receiver.ended and not self.is_cut(sender.name, receiver.name):
             receiver.claims.receive(sender.name, message)
 
-    def parted(self, one, other):
+    def is_cut(self, one, other):
         return (one in self.cut) != (other in self.cut)
 
     async def run_at_server(self, order):
         """Run an order at some server; it goes on whatever becomes of its agent."""
-        fate = self.random.random()
-        if fate < 0.1:
+        draw = self.random.random()
+        if draw < 0.1:
             return Err(Failure(RequestOutcome.NOT_RUN, Reason.REFUSED))
         self.runs[order] += 1
         await asyncio.sleep(self.random.lognormvariate(-3, 1))
-        if fate < 0.35:
+        if draw < 0.35:
             return Err(Failure(RequestOutcome.UNKNOWN, Reason.BROKEN))
         return Ok(200)
 
 
-class Life:
+class AgentIncarnation:
     """One life of an agent, with the real claims and electorate."""
 
-    def __init__(self, world, name, life):
-        self.world = world
+    def __init__(self, simulation, name, incarnation):
+        self.simulation = simulation
         self.name = name
-        self.life = life
+        self.incarnation = incarnation
         self.ended = False
         self.members = Members()
         self.tasks = Tasks()
         self.claims = Claims(
-            VoterSet(name, life, world.loop.time()),
-            lambda to, message: world.send(self, to, message),
-            world.loop.time,
+            VoterSet(name, incarnation, simulation.loop.time()),
+            lambda to, message: simulation.send(self, to, message),
+            simulation.loop.time,
             lambda: WINDOW,
             lambda: WINDOW + DEADLINE,
         )
@@ -151,18 +162,18 @@
 
     def observe(self):
         members = self.members.of_service(SERVICE)
-        now = self.world.loop.time()
+        now = self.simulation.loop.time()
         self.claims.voters.observe(members, now, WINDOW + DEADLINE)
 
     async def order(self, order):
         """Serve one attempt at an order."""
-        now = self.world.loop.time()
+        now = self.simulation.loop.time()
         request = Request("POST", "/o", (), b"x", "c", now, now + DEADLINE, 0, order)
 
         async def serve(request, sink):
             try:
                 async with asyncio.timeout_at(request.deadline):
-                    result = await self.world.run_at_server(order)
+                    result = await self.simulation.run_at_server(order)
             except TimeoutError:
                 return Err(Failure(RequestOutcome.UNKNOWN, Reason.DEADLINE))
             if isinstance(result, Ok):
@@ -173,88 +184,94 @@
         return await serve_keyed(request, FakeAnswer(), self.claims, serve, self.tasks)
 
 
-async def call(world, order):
+async def call(simulation, order):
     """Repeat an order until its fate is known or the caller's patience ends."""
     for _ in range(FINAL):
-        await asyncio.sleep(world.random.uniform(0, 0.8))
-        if not world.agents:
+        await asyncio.sleep(simulation.random.uniform(0, 0.8))
+        if not simulation.agents:
             continue
-        agent = world.random.choice(sorted(world.agents.values(), key=lambda a: a.name))
+        agent = simulation.random.choice(
+            sorted(simulation.agents.values(), key=lambda a: a.name)
+        )
         attempt = agent.tasks.start(agent.order(order), name="attempt")
-        done, _ = await asyncio.wait({attempt}, timeout=world.random.choice((0.1, 5)))
+        done, _ = await asyncio.wait(
+            {attempt}, timeout=simulation.random.choice((0.1, 5))
+        )
         if not done or attempt.cancelled() or attempt.exception():
-            world.told["lost"] += 1
+            simulation.outcomes["lost"] += 1
             continue
         match attempt.result():
             case Ok(_):
-                world.told["ran"] += 1
+                simulation.outcomes["ran"] += 1
                 return
             case Err(failure):
-                world.told[failure.outcome.value] += 1
-                if failure.outcome is RequestOutcome.NOT_RUN and world.runs[order]:
-                    world.lies.append((order, failure.reason))
+                simulation.outcomes[failure.outcome.value] += 1
+                if failure.outcome is RequestOutcome.NOT_RUN and simulation.runs[order]:
+                    simulation.false_not_run.append((order, failure.reason))
 
 
-async def break_things(world):
+async def break_things(simulation):
     """Kill, restart and cut agents off, never more than a few at once."""
     for _ in range(8):
-        await asyncio.sleep(world.random.uniform(0.2, 1.2))
-        fault = world.random.choice(("kill", "restart", "cut", "join"))
-        names = sorted(world.agents)
+        await asyncio.sleep(simulation.random.uniform(0.2, 1.2))
+        fault = simulation.random.choice(("kill", "restart", "cut", "join"))
+        names = sorted(simulation.agents)
         if fault == "kill" and len(names) > 2:
-            world.kill(world.random.choice(names))
+            simulation.kill(simulation.random.choice(names))
         elif fault == "restart":
-            name = world.random.choice(names)
-            world.kill(name)
-            await asyncio.sleep(world.random.uniform(0, 0.5))
-            world.start(name)
+            name = simulation.random.choice(names)
+            simulation.kill(name)
+            await asyncio.sleep(simulation.random.uniform(0, 0.5))
+            simulation.start(name)
         elif fault == "cut":
-            world.cut = {world.random.choice(names)} if not world.cut else set()
+            simulation.cut = (
+                {simulation.random.choice(names)} if not simulation.cut else set()
+            )
         elif fault == "join":
-            world.start(f"hub-{len(world.lives) + 1}")
+            simulation.start(f"hub-{len(simulation.incarnations) + 1}")
 
 
 async def one_run(seed):
     # Jitter is drawn from the module's own numbers, so they are seeded as well.
     random.seed(seed)
-    world = World(seed, size=3 + seed % 5)
-    for number in range(world.size):
-        world.start(f"hub-{number + 1}")
+    simulation = Simulation(seed, size=3 + seed % 5)
+    for number in range(simulation.size):
+        simulation.start(f"hub-{number + 1}")
     await asyncio.sleep(2.5)
     callers = [
-        asyncio.create_task(call(world, f"order-{n}"))
+        asyncio.create_task(call(simulation, f"order-{n}"))
         for n in range(ORDERS)
         # Each order is also sent twice at once, as by a double tap.
         for _ in range(2)
     ]
-    breaking = asyncio.create_task(break_things(world))
+    breaking = asyncio.create_task(break_things(simulation))
     await asyncio.wait([*callers, breaking])
     for caller in callers:
         caller.result()
     breaking.result()
-    for agent in world.agents.values():
+    for agent in simulation.agents.values():
         agent.end()
     await asyncio.sleep(5)
-    return world
+    return simulation
 
 
-def sweep(seeds):
+def run_seeds(seeds):
     total = Counter()
     for seed in seeds:
-        world = run_virtually(one_run(seed))
-        doubles = [order for order, count in world.runs.items() if count > 1]
+        simulation = run_virtually(one_run(seed))
+        doubles = [order for order, count in simulation.runs.items() if count > 1]
         total["doubles"] += len(doubles)
-        total["lies"] += len(world.lies)
-        total["runs"] += sum(world.runs.values())
-        total.update(world.told)
+        total["false_not_run"] += len(simulation.false_not_run)
+        total["runs"] += sum(simulation.runs.values())
+        total.update(simulation.outcomes)
     return total
 
 
 def check(seeds):
-    total = sweep(seeds)
+    total = run_seeds(seeds)
     print(dict(total))
     assert total["doubles"] == 0
-    assert total["lies"] == 0
+    assert total["false_not_run"] == 0
     # Failing closed is worth nothing if it refuses all; most orders must get through.
     assert total["runs"] >= 0.6 * ORDERS * len(seeds)
 
@@ -277,4 +294,4 @@
         monkeypatch.setattr(claims_module, "majority", lambda count: 1)
     else:
         monkeypatch.setattr(voters_module.VoterSet, "update_ready", lambda *_: True)
-    assert sweep(range(20))["doubles"] > 0
+    assert run_seeds(range(20))["doubles"] > 0
--- a/tests/test_electorate.py
+++ b/tests/test_electorate.py
@@ -8,17 +8,17 @@
 NAMES = ("hub-1", "hub-2", "hub-3", "hub-4", "hub-5")
 
 
-def member(name, life=1):
-    return Announce(name, "agent", "d", life, "h", 1, "s", 1.0, 2, False)
+def member(name, incarnation=1):
+    return Announce(name, "agent", "d", incarnation, "h", 1, "s", 1.0, 2, False)
 
 
-def seated(name="hub-1", names=NAMES):
+def observing_voters(name="hub-1", names=NAMES):
     voters = VoterSet(name, 1, 0.0)
     voters.observe([member(n) for n in names], 0.0, 600.0)
     return voters
 
 
-def hear(voters, names, *, ready, restart_seen=False):
+def sync_from(voters, names, *, ready, restart_seen=False):
     for name in names:
         voters.record_sync(name, ready=ready, restart_seen=restart_seen, others=NAMES)
 
@@ -35,32 +35,32 @@
     # All start together and some are ready first. Each of the others has heard of
     # some that vote and of some that don't; were neither kind enough by itself, they
     # would wait for each other for the whole window.
-    voters = seated()
-    hear(voters, already_ready, ready=True)
-    hear(voters, set(NAMES[1:]) - already_ready, ready=False)
+    voters = observing_voters()
+    sync_from(voters, already_ready, ready=True)
+    sync_from(voters, set(NAMES[1:]) - already_ready, ready=False)
     assert voters.update_ready(2.0, 600.0)
 
 
 def test_nobody_votes_at_once_or_alone_among_silent_peers():
     assert not VoterSet("hub-1", 1, 0.0).update_ready(0.5, 600.0)
     assert VoterSet("hub-1", 1, 0.0).update_ready(1.5, 600.0)
-    assert not seated().update_ready(500.0, 600.0)
-    assert seated().update_ready(600.0, 600.0)
+    assert not observing_voters().update_ready(500.0, 600.0)
+    assert observing_voters().update_ready(600.0, 600.0)
 
 
 def test_returning_agent_hears_a_reading_quorum_first():
     voters = VoterSet("hub-1", 2, 0.0)
     voters.observe([member(n) for n in NAMES], 0.0, 600.0)
     assert voters.restart_seen
-    hear(voters, NAMES[1:3], ready=True)
-    hear(voters, NAMES[3:], ready=False)
+    sync_from(voters, NAMES[1:3], ready=True)
+    sync_from(voters, NAMES[3:], ready=False)
     assert not voters.update_ready(2.0, 600.0)
-    hear(voters, NAMES[3:4], ready=True)
+    sync_from(voters, NAMES[3:4], ready=True)
     assert voters.update_ready(2.0, 600.0)
 
 
 def test_dead_agent_keeps_its_seat_for_the_window():
-    voters = seated()
+    voters = observing_voters()
     alive = [member(n) for n in NAMES[:4]]
     voters.observe(alive, 10.0, 600.0)
     voters.observe(alive, 609.0, 600.0)
@@ -70,7 +70,7 @@
 
 
 def test_agent_that_left_in_order_gives_up_its_seat_at_once():
-    voters = seated()
+    voters = observing_voters()
     voters.remove_voter("hub-5", 1)
     voters.observe([member(n) for n in NAMES], 10.0, 600.0)
     assert "hub-5" not in voters.names()
@@ -78,7 +78,7 @@
     assert "hub-5" in voters.names()
 
 
-def heard_of_a_third():
+def learn_of_third_agent():
     """An agent hears of hub-3 from hub-2 before hub-3 is announced to it."""
     voters = VoterSet("hub-1", 102, 0.0)
     voters.observe([member("hub-1", 102), member("hub-2", 102)], 0.0, 600.0)
@@ -90,7 +90,7 @@
     # A service starts for the first time, and news of its agents comes by two ways.
     # Taken for a restart, the third agent's first announcement kept everyone from
     # voting, and every order with a key got "outcome unknown" for ten minutes.
-    voters = heard_of_a_third()
+    voters = learn_of_third_agent()
     voters.observe([member(name, 102) for name in NAMES[:3]], 1.0, 600.0)
     voters.record_sync("hub-3", ready=False, restart_seen=False, others=NAMES[:3])
     assert not voters.restart_seen
@@ -98,7 +98,7 @@
 
 
 def test_agent_that_came_back_is_a_return():
-    voters = heard_of_a_third()
+    voters = learn_of_third_agent()
     voters.observe([member(name, 102) for name in NAMES[:3]], 1.0, 600.0)
     voters.observe([member("hub-3", 103)], 2.0, 600.0)
     assert voters.restart_seen
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -19,8 +19,8 @@
         fake_server(ports[1], seconds=0.1) as second,
         running_group(ports[:2]) as group,
     ):
-        held = group.gateways["hub-1"]
-        callers = [Caller(held, f"10.0.0.{n}") for n in range(4)]
+        gateway = group.gateways["hub-1"]
+        callers = [Caller(gateway, f"10.0.0.{n}") for n in range(4)]
         asks = []
         for number, caller in enumerate(callers):
             asks.append(asyncio.create_task(caller.ask(body=b"%d" % number)))
@@ -138,18 +138,18 @@
         fake_server(ports[1]) as second,
         running_group(ports[:2]) as group,
     ):
-        held = group.gateways["hub-1"]
-        running, other = Caller(held), Caller(held, "10.0.0.8")
+        gateway = group.gateways["hub-1"]
+        running, other = Caller(gateway), Caller(gateway, "10.0.0.8")
         await running.send(body=b"running")
         while not first.running:
             await asyncio.sleep(0.01)
-        draining = asyncio.create_task(held.drain(5))
+        draining = asyncio.create_task(gateway.drain(5))
         await asyncio.sleep(0.02)
         assert (await other.ask(body=b"new"))[0] == 200
         status, _, body = await running.receive()
         assert (status, body) == (200, b"done /order running")
         await draining
-        assert held.idle
+        assert gateway.idle
         await running.close()
         await other.close()
     assert (first.runs, second.runs) == (["running"], ["new"])
@@ -157,9 +157,9 @@
 
 async def test_leaving_agent_without_peers_says_not_run(ports):
     async with fake_server(ports[0]) as first, running_group(ports[:1]) as group:
-        held = group.gateways["hub-1"]
-        held.leave()
-        caller = Caller(held)
+        gateway = group.gateways["hub-1"]
+        gateway.leave()
+        caller = Caller(gateway)
         status, headers, _ = await caller.ask(body=b"x")
         assert (status, headers["cornelspan-outcome"]) == (503, "not-run")
         assert int(headers["retry-after"]) >= 1
@@ -202,11 +202,11 @@
         fake_server(ports[0], seconds=0.05),
         running_group(ports[:1], profile=profile, slots=1) as group,
     ):
-        held = group.gateways["hub-1"]
-        flood = [Caller(held, "10.0.0.1") for _ in range(12)]
+        gateway = group.gateways["hub-1"]
+        flood = [Caller(gateway, "10.0.0.1") for _ in range(12)]
         asks = [asyncio.create_task(c.ask("GET", "/a")) for c in flood]
         await asyncio.sleep(0.02)
-        other = Caller(held, "10.0.0.2")
+        other = Caller(gateway, "10.0.0.2")
         assert (await other.ask("GET", "/b"))[0] == 200
         assert sum(ask.done() and ask.result()[0] == 200 for ask in asks) <= 3
         # One runs and eight wait; the ninth that waits goes when the other comes.
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -108,7 +108,7 @@
         await ask(group, "hub-1")
         for name in ("hub-1", "hub-2", "hub-3"):
             await group.kill(name)
-            await group.start(name, ports[0], life=2)
+            await group.start(name, ports[0], incarnation=2)
             await group.ready()
         assert (await ask(group, "hub-2"))[0] == 200
     assert server.runs == ["x"]
@@ -123,7 +123,7 @@
         for name in ("hub-1", "hub-2"):
             await group.kill(name)
         for name in ("hub-1", "hub-2"):
-            await group.start(name, ports[0], life=2)
+            await group.start(name, ports[0], incarnation=2)
         caller = Caller(group.gateways["hub-1"])
         status, headers, _ = await caller.ask(
             body=b"y", Idempotency_Key="k-2", X_Request_Deadline=1500
@@ -139,7 +139,7 @@
     async with fake_server(ports[0]) as server, running_group([ports[0]] * 3) as group:
         await group.ready()
         group.cut.add("hub-3")
-        began = asyncio.get_running_loop().time()
+        started = asyncio.get_running_loop().time()
         assert (await ask(group, "hub-1"))[0] == 200
         caller = Caller(group.gateways["hub-3"])
         status, headers, _ = await caller.ask(
@@ -147,7 +147,7 @@
         )
         assert (status, headers["cornelspan-outcome"]) == (502, "unknown")
         # What is given up is answered at once, with the time to come back.
-        assert asyncio.get_running_loop().time() - began < 0.5 * 8
+        assert asyncio.get_running_loop().time() - started < 0.5 * 8
         assert int(headers["retry-after"]) >= 1
         await caller.close()
     assert server.runs == ["x"]
--- a/tests/test_keyed_path.py
+++ b/tests/test_keyed_path.py
@@ -13,7 +13,7 @@
 TRIES = 4
 
 
-async def order(address, number, told):
+async def order(address, number, outcomes):
     """Send one order until its answer is known, each time on a new flow."""
     request_id = f"order-{number}"
     body = msgspec.json.encode({"request_id": request_id})
@@ -30,8 +30,8 @@
             )
         except (OSError, HTTPError):
             continue
-        told[request_id] = answer.headers.get("Cornelspan-Outcome", "cut")
-        if told[request_id] == "ran":
+        outcomes[request_id] = answer.headers.get("Cornelspan-Outcome", "cut")
+        if outcomes[request_id] == "ran":
             break
     client.close()
 
@@ -46,14 +46,14 @@
         mean_seconds=0.05,
         servers={"order-hub": {"lose_answers": 0.2}},
     )
-    told = {}
+    outcomes = {}
     async with deployment(plan) as state:
         address = caller_address(plan, "order-hub")
         numbers = random.Random(1)
 
         async def later(number):
             await asyncio.sleep(numbers.uniform(0, 3))
-            await order(address, number, told)
+            await order(address, number, outcomes)
 
         async def break_agents():
             await asyncio.sleep(0.8)
@@ -68,6 +68,8 @@
         ran = {run.idempotency_key for run in state.journal.runs}
         assert state.journal.double_runs() == 0
         assert not [
-            key for key, outcome in told.items() if outcome == "not-run" and key in ran
+            key
+            for key, outcome in outcomes.items()
+            if outcome == "not-run" and key in ran
         ]
         assert len(ran) >= 0.8 * ORDERS
