--- a/packages/cornelspan-requests/src/cornelspan_requests/__init__.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP requests of ``http`` services: admission, hand-off, keys, retries, outcomes."""
+"""HTTP requests of ``http`` services: admission, handoff, keys, retries, outcomes."""
--- a/packages/cornelspan-requests/src/cornelspan_requests/admission.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/admission.py
@@ -1,6 +1,7 @@
-"""Which requests get a slot, which wait, and which are turned away at once.
+"""Admission control: which requests get a slot, wait in the queue, or are rejected.
 
-Every decision takes the clock's value, so that a bench can drive it without waiting:
+Every method that depends on time takes it as an argument, so that benchmarks and tests
+can use a simulated clock:
 
     admission = Admission(slots=2)
     decision = admission.offer(ticket, policy, now=0.0)
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShedTicket:
-    """A waiting ticket that is given up, and what its caller is told, at once."""
+    """A waiting ticket that was dropped from the queue, and why."""
 
     ticket: Ticket
     rejection: Failure
@@ -29,10 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What an offer has led to.
+    """The result of offering a ticket.
 
-    ``started`` may run now, ``rejection`` is the offered ticket's own, and ``shed``
-    are others that the offered one has pushed out.
+    ``started`` tells whether the ticket got a slot. ``rejection`` is why it was
+    rejected, None if it runs or waits. ``shed`` are other tickets that were dropped
+    from the queue because of the offer.
     """
 
     started: bool = False
@@ -42,7 +44,7 @@
 
 @dataclass
 class AdmissionCounts:
-    """Tickets by what became of them."""
+    """Admitted tickets, and rejected or shed ones by reason."""
 
     admitted: int = 0
     queue_full: int = 0
@@ -52,9 +54,10 @@
 
 @dataclass
 class Admission:
-    """The slots of one endpoint and the queue before them.
+    """The slots of one endpoint and the queue of requests that wait for one.
 
-    ``limit`` is how many slots may be used now, fewer while the endpoint warms up.
+    ``limit`` is how many of the slots may be used now: fewer than ``slots`` during slow
+    start. ``arrivals`` counts the offered tickets.
     """
 
     slots: int
@@ -64,24 +67,33 @@
     running_callers: Counter[str] = field(default_factory=Counter)
     times: ServiceTimes = field(default_factory=ServiceTimes)
     counts: AdmissionCounts = field(default_factory=AdmissionCounts)
-    number: int = 0
+    arrivals: int = 0
 
     def __post_init__(self) -> None:
         self.limit = self.limit or self.slots
 
     def expected_wait(self, ahead: int) -> float:
-        """Return the seconds until a slot is likely free behind ``ahead`` others."""
+        """Return the expected seconds until a slot is free for a ticket.
+
+        Args:
+            ahead: Waiting tickets that get a slot before it.
+        """
         if self.running < self.limit and not ahead:
             return 0.0
         busy = self.running + ahead - self.limit + 1
         return max(0.0, busy * self.times.mean / self.limit)
 
     def offer(self, ticket: Ticket, policy: RequestPolicy, *, now: float) -> Decision:
-        """Start a ticket, let it wait, or refuse it.
+        """Start a ticket, add it to the queue, or reject it.
 
-        A full queue gives up its last ticket for a better one. A ticket that can't end
-        by its deadline behind those before it is refused now, since the work would be
-        for nobody and the caller can ask elsewhere.
+        If the queue is full, a ticket that sorts before others replaces the last one. A
+        ticket that is not expected to finish by its deadline is rejected at once: its
+        caller would no longer use the answer, and can try another endpoint.
+
+        Args:
+            ticket: The ticket.
+            policy: Bounds of the queue and of one caller's share.
+            now: The time.
         """
         self._assign_position(ticket)
         rejection = self._check_rejection(ticket, policy, now)
@@ -94,28 +106,28 @@
         return Decision(shed=tuple(self._shed_overflow(policy) + self.shed_late(now)))
 
     def finish(
-        self, ticket: Ticket, *, now: float, measured: bool = True
+        self, ticket: Ticket, *, now: float, record_time: bool = True
     ) -> list[Ticket]:
         """Free a ticket's slot.
 
         Args:
             ticket: A started ticket.
-            now: The clock.
-            measured: Whether its time tells how long a request takes.
+            now: The time.
+            measured: Whether to record its service time.
 
         Returns:
-            The tickets that run next.
+            Waiting tickets that were started in turn.
         """
         self.running -= 1
         self.running_callers[ticket.caller] -= 1
         if self.running_callers[ticket.caller] <= 0:
             del self.running_callers[ticket.caller]
-        if measured:
+        if record_time:
             self.times.record(now - ticket.started)
         return self.start_waiting(now=now)
 
     def start_waiting(self, *, now: float) -> list[Ticket]:
-        """Start tickets as long as slots are free, as after ``limit`` has grown."""
+        """Start waiting tickets while slots are free, and return them."""
         started = []
         while self.queue.tickets and self.running < self.limit:
             ticket = self.queue.pop()
@@ -124,11 +136,11 @@
         return started
 
     def cancel(self, ticket: Ticket) -> bool:
-        """Forget a waiting ticket whose caller is gone."""
+        """Remove a ticket from the queue; False if it isn't waiting."""
         return self.queue.remove(ticket)
 
     def shed_late(self, now: float) -> list[ShedTicket]:
-        """Give up the waiting tickets that can no longer end by their deadline."""
+        """Drop waiting tickets that are not expected to finish by their deadline."""
         late = [
             ticket
             for ahead, ticket in enumerate(self.queue.tickets)
@@ -140,13 +152,15 @@
         outstanding = (
             self.queue.callers[ticket.caller] + self.running_callers[ticket.caller]
         )
-        self.number += 1
+        self.arrivals += 1
         caller_load = outstanding // self.slots
         ticket.position = QueuePosition(
-            ticket.priority, caller_load, ticket.deadline, self.number
+            ticket.priority, caller_load, ticket.deadline, self.arrivals
         )
-        # The measured need is cut for callers whose deadline is shorter than it: they
-        # start at once or not at all, but a slow phase can't shut them out for good.
+        # The reserved service time is at most half of the time until the deadline.
+        # Without this bound a slow phase would shut out for good the callers whose
+        # deadlines are shorter than the estimate: none of their requests would run and
+        # lower it again. With it, they run if a slot is free or free very soon.
         window = ticket.deadline - ticket.arrived
         ticket.latest_start = ticket.deadline - min(
             self.times.high_estimate, window / 2
@@ -173,10 +187,11 @@
         return None
 
     def _exceeds_share(self, caller: str, policy: RequestPolicy) -> bool:
-        """Whether a caller fills its part of the queue while others wait too.
+        """Whether a caller fills its share of the queue while other callers wait.
 
-        Alone it may have all of the queue, as a hall full of kiosks behind one address:
-        whoever comes then is less crowded and pushes out its last.
+        A caller that waits alone may fill the whole queue, e.g. many client devices
+        behind one address. A request of another caller then sorts first because of its
+        lower caller load, and replaces the last ticket.
         """
         waiting = self.queue.callers[caller]
         max_waiting = max(1, int(policy.queue * policy.caller_share))
--- a/packages/cornelspan-requests/src/cornelspan_requests/backend.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/backend.py
@@ -1,8 +1,8 @@
-"""Calls to the backend server beside the agent, over loopback.
+"""Calls to the agent's backend server over loopback.
 
-Each call has a connection of its own. On a kept one the server may close while the
-request is being written, and nobody could tell whether it ran; a fresh connection on
-loopback costs about 0.1 ms, and cancelling a call is closing its connection.
+Each call opens a new connection. A server may close a kept-alive connection while the
+next request is being written, and then it is unknown whether the request ran. A new
+connection over loopback costs about 0.1 ms, and closing it cancels the call.
 """
 
 import asyncio
@@ -37,18 +37,26 @@
 
 
 class AnswerSink(Protocol):
-    """Where an answer goes as it comes."""
+    """Receives an answer in parts."""
 
     async def start(self, head: AnswerHead) -> bool:
-        """Take status and headers; False if nobody waits for them any more."""
+        """Process status and headers; False if the caller is gone."""
 
     async def write(self, chunk: bytes) -> bool:
-        """Take a part of the body; returns when there is room for more."""
+        """Process a part of the body, and return once more can be accepted.
+
+        Returns:
+            False if the caller is gone.
+        """
 
 
 @dataclass
 class _ResponseReader(HTTPMessageDelegate):
-    """Passes an answer on to its sink, and notes how far it came."""
+    """Passes an answer on to its sink, and records how much of it arrived.
+
+    ``shed`` is set if the server rejected the request without running it, ``unframed``
+    if the end of the answer could not be told from a broken connection.
+    """
 
     sink: AnswerSink
     head_request: bool
@@ -63,7 +71,7 @@
     async def headers_received(
         self, start_line: ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Pass the head on, unless the server says that it did not run the request."""
+        """Pass the head on, unless the server rejected the request."""
         if start_line.code < 200:
             return
         self.status = start_line.code
@@ -89,15 +97,15 @@
             self.caller_gone = not await self.sink.write(chunk)
 
     def finish(self) -> None:
-        """Note that the answer is whole."""
+        """Note that the answer is complete."""
         self.complete = self.status >= 200
 
     def on_connection_close(self) -> None:
-        """Leave the answer as broken as it is."""
+        """Do nothing: the answer stays incomplete."""
 
 
 def is_shed(status: int, headers: HTTPHeaders) -> bool:
-    """Whether a server's answer says that it turned the request away unrun."""
+    """Whether an answer says that the server did not run the request."""
     return status == SHED_STATUS and headers.get(NOT_RUN_HEADER, "").strip() == "1"
 
 
@@ -107,10 +115,10 @@
     """Run a request at the backend server and pass the answer to a sink.
 
     Args:
-        request: What to run.
-        server: Where the backend server listens.
-        sink: Gets the answer as it comes.
-        answer_bytes: Limit of the answer's body.
+        request: The request.
+        server: The address of the backend server.
+        sink: Gets the answer as it arrives.
+        answer_bytes: Largest size of the answer's body, in bytes.
 
     Returns:
         The status of an answer that was passed on whole, or why there is none and
@@ -132,7 +140,7 @@
     except TimeoutError:
         return Err(Failure(RequestOutcome.UNKNOWN, Reason.DEADLINE))
     finally:
-        # Closing is also how the server learns that a request is cancelled.
+        # Closing the connection also tells the server that the request is cancelled.
         stream.close()
 
 
@@ -164,7 +172,7 @@
 
 
 def _request_headers(request: Request) -> HTTPHeaders:
-    """Return the headers for the server; the deadline is what is left, in ms."""
+    """Return the headers for the server, with the milliseconds left as deadline."""
     headers = HTTPHeaders()
     for name, value in request.headers:
         headers.add(name, value)
--- a/packages/cornelspan-requests/src/cornelspan_requests/claims.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/claims.py
@@ -1,8 +1,8 @@
-"""Claims on idempotency keys over all agents of a service.
+"""Claims on idempotency keys, granted by a majority of the service's agents.
 
 match await claims.claim(key, fingerprint, deadline):
     case Granted(record): run, then claims.finish(record, ...)
-    case Known(record): answer from the record
+    case Existing(record): answer from the record
 """
 
 import asyncio
@@ -42,14 +42,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """The claim stands: the request may run, once."""
+    """The claim was granted: the request may run, once."""
 
     record: KeyRecord
 
 
 @dataclass(frozen=True, slots=True)
 class Existing:
-    """Another claim stands; ``holder_gone`` tells that its agent died while it ran."""
+    """The key is claimed already.
+
+    ``holder_gone`` tells that the agent that holds the claim has died or restarted.
+    """
 
     record: KeyRecord
     holder_gone: bool = False
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoQuorum:
-    """Too few agents answered; whether the key has run is not known."""
+    """Too few agents answered, so it is not known whether the key has run."""
 
 
 ClaimResult = Granted | Existing | NoQuorum
@@ -65,7 +68,13 @@
 
 @dataclass
 class VoteRound:
-    """One question and the votes on it so far."""
+    """One vote on a claim, with the answers so far.
+
+    ``recorded`` are the agents that recorded the claim, with their incarnations.
+    ``known`` are records of other claims on the key, by the agent that has them.
+    ``not_ready`` are agents that may not vote yet. ``voters`` are all whose votes
+    count, including those that only other voters know of.
+    """
 
     claim: KeyRecord
     recorded: dict[str, int] = field(default_factory=dict)
@@ -76,18 +85,18 @@
 
     @property
     def granted(self) -> bool:
-        """Whether more than half have recorded the claim, by every voter's view."""
+        """Whether a majority of all known voters has recorded the claim."""
         return len(self.recorded) >= majority(len(self.voters))
 
     @property
     def complete(self) -> bool:
-        """Whether all have voted."""
+        """Whether all voters have answered."""
         answered = self.recorded.keys() | self.known.keys() | self.not_ready
         return self.voters <= answered
 
     @property
     def decided(self) -> bool:
-        """Whether waiting for more votes can't change what the claimant does."""
+        """Whether further votes can't change the result for the claimant."""
         if self.complete:
             return True
         if not self.known:
@@ -95,7 +104,12 @@
         return any(self._is_conclusive(record) for record in self.known.values())
 
     def _is_conclusive(self, record: KeyRecord) -> bool:
-        """Whether one voter's record is all that there is to know."""
+        """Whether one voter's record decides the vote by itself.
+
+        A record of a claim whose request still runs does so once its holder has
+        answered, and a record of a finished run if it has the answer, or if the outcome
+        of the run is unknown.
+        """
         if record.state == KeyState.CLAIMED:
             return record.token.holder in self.recorded.keys() | self.known.keys()
         return record.state == KeyState.UNKNOWN or record.answer is not None
@@ -103,10 +117,12 @@
 
 @dataclass
 class Claims:
-    """The claims of one agent, its votes on others', and its way into the group.
+    """The claims of one agent, its votes on the claims of others, and its joining.
 
-    ``window`` is how long a finished run is remembered, and ``voter_window`` how long a
-    claim of a run that goes on can last, both in seconds.
+    ``window`` returns how long the record of a finished run is kept, and
+    ``voter_window`` how long a lost agent stays a voter: as long as a claim can last.
+    Both are in seconds. ``sync_number`` is the number of the latest request for the
+    other agents' records, and ``records_received`` counts the records got for it.
     """
 
     voters: VoterSet
@@ -122,7 +138,7 @@
     leaving: bool = False
 
     async def claim(self, key: bytes, fingerprint: int, deadline: float) -> ClaimResult:
-        """Claim a key for a run, or learn what has become of it.
+        """Claim a key for a run, or return the record of an earlier claim.
 
         While another run of the key goes on, wait for its end and ask again after
         jittered pauses. Without a quorum, give up after ``QUORUM_TIMEOUT_SECONDS``:
@@ -132,7 +148,7 @@
         Args:
             key: Digest of the key.
             fingerprint: Digest of the request.
-            deadline: How long to go on, by the clock.
+            deadline: When to stop trying, in seconds on the clock.
         """
         pause = MIN_PAUSE_SECONDS
         quorum_until = min(deadline, self.clock() + QUORUM_TIMEOUT_SECONDS)
@@ -150,17 +166,22 @@
             pause = min(MAX_PAUSE_SECONDS, 2 * pause)
 
     def release(self, claim: KeyRecord) -> None:
-        """Give a granted claim back: its request has surely not run."""
+        """Release a claim whose request has certainly not run."""
         self.key_store.release(claim.key, claim.token)
         self._broadcast(KeyRelease(claim.key, claim.token))
 
     def finish(
         self, claim: KeyRecord, state: KeyState, answer: KeptAnswer | None
     ) -> None:
-        """Tell all how the run of a granted claim has ended.
+        """Record how the run of a granted claim ended, here and at all other agents.
 
-        The first by the key's rank get the answer too, so that it can be given again
-        when this agent has died.
+        ``ANSWER_COPIES`` other agents, chosen by rendezvous hashing of the key, get the
+        answer too, so that it can be repeated after this agent has died.
+
+        Args:
+            claim: The granted claim.
+            state: How the run ended.
+            answer: The answer to keep, if any.
         """
         record = finished_record(claim, state, self.window(), answer)
         self.key_store.finish(record, self.clock())
@@ -174,7 +195,7 @@
             self.send(name, KeyDone(record if at < ANSWER_COPIES else without))
 
     def receive(self, sender: str, message: Message) -> None:
-        """Take a message of another agent."""
+        """Process a message of another agent."""
         now = self.clock()
         match message:
             case KeyClaim():
@@ -193,7 +214,7 @@
                 self.voters.remove_voter(name, incarnation)
 
     async def join(self) -> None:
-        """Ask the others for their claims until this agent may vote."""
+        """Request the records of the other agents until this one may vote."""
         while not self.voters.update_ready(self.clock(), self.voter_window()):
             self.number += 1
             self.sync_number = self.number
@@ -203,7 +224,7 @@
             await asyncio.sleep(SYNC_INTERVAL_SECONDS * random.uniform(0.5, 1.0))
 
     def leave(self) -> None:
-        """Hand all claims to the others and give up the seat, in a planned stop."""
+        """Send all records to the other agents and stop voting, in a planned stop."""
         self.leaving = True
         now = self.clock()
         for name in self._others():
@@ -214,7 +235,7 @@
     async def _run_round(
         self, key: bytes, fingerprint: int, deadline: float
     ) -> ClaimResult:
-        """Put one claim to the vote."""
+        """Let all voters vote on a new claim, and return the result."""
         self.number += 1
         voters = self.voters
         token = Token(voters.name, voters.incarnation, self.number)
@@ -237,10 +258,11 @@
             del self.rounds[question]
 
     def _vote_locally(self, vote_round: VoteRound) -> bool:
-        """Record the own claim and count the own vote, if it counts yet.
+        """Record the agent's own claim, and count its own vote if it may vote.
 
-        Recorded it is in any case: another agent takes our vote for its claim as word
-        that we hold none.
+        The claim is recorded even if this agent may not vote: when another agent claims
+        the same key and this one votes for it, that tells the other that this agent
+        holds no claim of its own.
 
         Returns:
             False if there is no room for the record.
@@ -266,7 +288,7 @@
             return
 
     def _decide(self, vote_round: VoteRound) -> ClaimResult:
-        """Read the votes; a claim that is not granted is taken back everywhere."""
+        """Return the result of a vote; release a claim that was not granted."""
         if vote_round.granted and not vote_round.known:
             return Granted(vote_round.claim)
         self.release(vote_round.claim)
@@ -274,14 +296,14 @@
             return NoQuorum()
         record = max(vote_round.known.values(), key=_completeness)
         if self._is_released(vote_round, record):
-            # The holder says it holds no such claim: its release was lost on the way.
+            # The holder has no such claim any more: its release message was lost.
             self._broadcast(KeyRelease(record.key, record.token))
             self.key_store.release(record.key, record.token)
             return NoQuorum()
         return Existing(record, holder_gone=self._holder_gone(record))
 
     def _is_released(self, vote_round: VoteRound, record: KeyRecord) -> bool:
-        """Whether a claim stands at a voter that its own holder no longer holds."""
+        """Whether a record is of a claim that its holder has released."""
         holder = record.token.holder
         if record.state != KeyState.CLAIMED:
             return False
@@ -334,8 +356,9 @@
             vote_round.not_ready.add(name)
 
     def _answer_sync(self, sender: str, sync: KeySync, now: float) -> None:
-        # From here on the new agent counts, so that a claim granted after this answer
-        # needs a majority which includes it or one of those it has heard.
+        # From here on the new agent counts as a voter. So a claim that is granted after
+        # this answer needs a majority that includes the new agent, or one of the agents
+        # whose records it has received.
         self.voters.add_voter(sync.name, sync.incarnation)
         self._send_records(sender, sync.question, now)
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
@@ -1,8 +1,9 @@
-"""Where a request runs: here, or at another agent of the service, and what is retried.
+"""Choice of the endpoint that runs a request, and retries at other endpoints.
 
-A request moves on only when it surely did not run, or may run twice by its method. What
-an agent turned away itself is moved without a retry's price; what reached a backend
-server is retried within the budget and after a pause.
+A request is sent to another endpoint only if it certainly did not run, or if its method
+is idempotent. A request that an agent rejected is sent on at once and doesn't count as
+a retry. A request that may have reached a backend server is retried after a backoff,
+within the retry budget.
 """
 
 import asyncio
@@ -29,7 +30,12 @@
 from cornelspan_requests.exchange import Request
 from cornelspan_requests.handoff import Handoffs
 from cornelspan_requests.outcomes import Failure, Reason, RequestOutcome
-from cornelspan_requests.retries import Draw, RetryBudget, backoff_pause, is_repeatable
+from cornelspan_requests.retries import (
+    RandomFraction,
+    RetryBudget,
+    backoff_pause,
+    is_repeatable,
+)
 
 MAX_MOVES = 2
 PENDING_LOAD_SECONDS = 0.01
@@ -42,11 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Peers:
-    """The other agents of the service, as the flow layer reaches them.
+    """The other agents of the service.
 
-    ``send`` gives a message to an agent by name, and returns False if there is no
-    stream to it. ``names`` are the agents that can be reached, ``loads`` what they told
-    last.
+    ``send`` sends a message to an agent by name, and returns False if there is no
+    stream to it. ``names`` returns the agents that have a stream. ``loads`` are the
+    loads that they reported last.
     """
 
     send: Callable[[str, Message], bool] = lambda name, message: False
@@ -60,11 +66,11 @@
     """Return where to run a request: an agent's name, ``LOCAL``, or None for nowhere.
 
     Args:
-        own: This endpoint's load; None if it takes nothing new.
-        loads: What the peers told last.
+        own: This endpoint's load; None if it accepts no new requests.
+        loads: The loads that the peers reported last.
         names: The peers that can be reached.
-        tried: Places that have turned the request away.
-        queue: Bound of each endpoint's queue; the service's profile sets it for all.
+        tried: Destinations at which the request has failed already.
+        queue: Largest length of an endpoint's queue, the same for the whole service.
     """
     untried = [
         name
@@ -78,10 +84,11 @@
 
 
 def urgent_loads(own: OwnLoad | None, loads: Loads) -> tuple[OwnLoad | None, Loads]:
-    """Return the loads as a request sees them whose priority was not lowered.
+    """Return the loads that count for a request of the service's own priority.
 
-    It goes before all lowered ones that wait, so they are no load to it. Counted, they
-    would send it to an endpoint with a short queue of its own kind.
+    Such a request is served before all waiting requests whose callers asked for a lower
+    priority, so only ``urgent`` requests count as waiting. If all were counted, it
+    could be sent to an endpoint with a shorter queue but more urgent requests in it.
     """
     if own is not None:
         own = replace(own, waiting=own.urgent)
@@ -95,14 +102,17 @@
 
 
 class TrackedSink(AnswerSink, Protocol):
-    """A sink that knows whether its caller has begun to get an answer."""
+    """A sink that tells whether any part of an answer has been sent to the caller."""
 
     begun: bool
 
 
 @dataclass
 class DispatchCounts:
-    """Requests by where they went."""
+    """Requests run at the own endpoint, handed off, and retried.
+
+    ``out_of_budget`` counts retries that the budget did not allow.
+    """
 
     local: int = 0
     moved: int = 0
@@ -112,12 +122,16 @@
 
 @dataclass
 class Dispatcher:
-    """What decides on the place of each request of one agent."""
+    """Chooses the destination of each request of one agent, and retries it.
+
+    ``leaving`` is set while the agent shuts down. ``sample_count`` and ``sampled_at``
+    tell when the endpoint's service times last changed.
+    """
 
     endpoint: Endpoint
     handoffs: Handoffs
     peers: Peers
-    draw: Draw
+    random_fraction: RandomFraction
     leaving: bool = False
     budget: RetryBudget = field(default_factory=RetryBudget)
     counts: DispatchCounts = field(default_factory=DispatchCounts)
@@ -128,9 +142,9 @@
         self.loop = asyncio.get_running_loop()
 
     def own_load(self, profile: Profile) -> OwnLoad | None:
-        """Return this endpoint's load, None if it takes nothing new.
+        """Return this endpoint's load, None if it accepts no new requests.
 
-        While it warms up it seems slower than it is, so that others are preferred.
+        During slow start its mean service time is raised, so that others are preferred.
         """
         standing = self.endpoint.standing()
         if self.leaving or standing is Standing.OUT:
@@ -143,10 +157,10 @@
         return OwnLoad(slots, admission.running, waiting, mean, urgent)
 
     def _mean_seconds(self, profile: Profile) -> float:
-        """Return the service time to tell of, ``UNMEASURED`` if it is not of late.
+        """Return the mean service time to report, ``UNMEASURED`` if it is too old.
 
-        An endpoint that was slow once gets little work. Its old figure kept, it would
-        never get the requests that show that it has recovered.
+        An endpoint that was slow gets few requests. If its old mean were reported
+        without limit, it would never get the requests that show that it has recovered.
         """
         now = self.loop.time()
         times = self.endpoint.admission.times
@@ -162,11 +176,15 @@
     async def serve(
         self, request: Request, sink: TrackedSink, profile: Profile
     ) -> Result[int, Failure]:
-        """Run a request where it is best placed, and elsewhere if it comes to nothing.
+        """Run a request at the best destination, and retry elsewhere if it fails.
+
+        Args:
+            request: The request.
+            sink: Gets the answer.
+            profile: The profile of the service.
 
         Returns:
-            The status of the whole answer that the sink has got, or what is known of a
-            request that has none.
+            The status of the answer, which the sink has got whole, or the last failure.
         """
         self.budget.record_request(self.loop.time())
         tried: set[str] = set()
@@ -187,7 +205,8 @@
             if sink.begun or not is_repeatable(request.method, failure):
                 break
             if failure.reason is Reason.MOVED:
-                # It waited there while another had a slot free; all are open again.
+                # It left a queue because another endpoint had a free slot; every
+                # endpoint may be chosen again.
                 tried.clear()
                 continue
             if (
@@ -199,7 +218,7 @@
                     break
                 continue
             attempts += 1
-            if not await self._may_retry(attempts, request, failure, profile):
+            if not await self._wait_to_retry(attempts, request, failure, profile):
                 break
             if self._choose_destination(profile, tried, urgent=urgent) is None:
                 tried.clear()
@@ -208,7 +227,7 @@
     async def run_for_peer(
         self, request: Request, sink: AnswerSink, profile: Profile
     ) -> Result[int, Failure]:
-        """Run a request that another agent handed over; it goes no further."""
+        """Run a request that another agent handed off; it is not handed off again."""
         if self.leaving:
             leaving = Failure(
                 RequestOutcome.NOT_RUN, Reason.DRAINING, MIN_RETRY_AFTER_SECONDS
@@ -219,7 +238,7 @@
     def _choose_destination(
         self, profile: Profile, tried: set[str], *, urgent: bool
     ) -> str | None:
-        """Return the best place not yet tried: an agent's name, ``LOCAL``, or None."""
+        """Return the best one not yet tried: an agent's name, ``LOCAL``, or None."""
         own = self.own_load(profile)
         names = self.peers.names()
         loads = self.peers.loads
@@ -234,24 +253,24 @@
             self.counts.local += 1
             return await self.endpoint.run(request, sink, profile)
         self.counts.moved += 1
-        # Counted against the peer until its own load shows the request; without this
-        # all requests of one moment would fall on the same idle peer.
+        # Add the request to the peer's load until the peer's own report includes it.
+        # Otherwise all requests of the same moment would go to the same idle peer.
         self.peers.loads.sent(destination)
         self.loop.call_later(
             PENDING_LOAD_SECONDS, self.peers.loads.answered, destination
         )
         return await self.handoffs.send(destination, request, sink)
 
-    async def _may_retry(
+    async def _wait_to_retry(
         self, attempts: int, request: Request, failure: Failure, profile: Profile
     ) -> bool:
-        """Spend a retry and pause; False if there is none, or no time for it."""
+        """Take a retry from the budget and wait for its backoff; False if none."""
         now = self.loop.time()
         if failure.reason in (Reason.CALLER_SHARE, Reason.CANCELLED):
             return False
         if attempts >= profile.retry.attempts:
             return False
-        pause = backoff_pause(attempts, profile.retry, self.draw)
+        pause = backoff_pause(attempts, profile.retry, self.random_fraction)
         if now + pause >= request.deadline:
             return False
         if not self.budget.spend(profile.retry, now):
--- a/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
@@ -1,8 +1,8 @@
-"""The endpoint beside this agent: its slots, its standing and its warming up.
+"""The agent's own endpoint: its slots, outlier detection and slow start.
 
 match await endpoint.run(request, answer, profile):
     case Ok(status): ...
-    case Err(refusal): ...
+    case Err(failure): ...
 """
 
 import asyncio
@@ -37,10 +37,12 @@
 
 @dataclass
 class Endpoint:
-    """What an agent holds of its backend server.
+    """An agent's view of its backend server: admission, ejection and slow start.
 
-    ``call_server`` runs one request at the server. ``peer_loads`` are the loads of the
-    other endpoints of the service, which bound how many may be ejected at once.
+    ``call_server`` runs one request at the server. ``peer_loads`` returns the loads of
+    the other endpoints of the service. They limit how many endpoints may be ejected at
+    once, and show whether another endpoint has a free slot. ``waiters`` are the futures
+    of waiting tickets; each resolves to None with a slot, or to the failure.
     """
 
     admission: Admission
@@ -54,7 +56,7 @@
         self.loop = asyncio.get_running_loop()
 
     def standing(self) -> Standing:
-        """Return how the endpoint stands now."""
+        """Return whether the endpoint is in service, ejected or being probed."""
         return self.ejection_state.standing(self.loop.time())
 
     @property
@@ -65,7 +67,16 @@
     async def run(
         self, request: Request, sink: AnswerSink, profile: Profile
     ) -> Result[int, Failure]:
-        """Get a slot for a request, run it, and judge the endpoint by it."""
+        """Run a request in a slot and use its result for outlier detection.
+
+        Args:
+            request: The request.
+            sink: Gets the answer.
+            profile: The profile of the service.
+
+        Returns:
+            The status of the answer, or why there is none.
+        """
         if (failure := self._reject_if_ejected(profile)) is not None:
             return Err(failure)
         probing = self.standing() is Standing.PROBING
@@ -76,7 +87,11 @@
             self.ejection_state.probing -= probing
 
     def end_excess_ejection(self, name: str, profile: Profile) -> None:
-        """End an ejection when more endpoints are out than the profile allows."""
+        """End this endpoint's ejection if more are ejected than the profile allows.
+
+        Agents eject their endpoints without coordination, so together they can exceed
+        the limit.
+        """
         if not self.ejection_state.ejected:
             return
         loads = list(self.peer_loads())
@@ -84,10 +99,10 @@
         share = profile.ejection.share_limit
         if must_return(name, out, len(loads) + 1, share):
             self.ejection_state.readmit()
-            log.warning("endpoint readmitted", extra={"why": "too many are out"})
+            log.warning("endpoint readmitted", extra={"why": "too many ejected"})
 
     def _reject_if_ejected(self, profile: Profile) -> Failure | None:
-        """Refuse while the endpoint is ejected, but for one probe at a time."""
+        """Return a failure while ejected; afterwards let one probe run at a time."""
         standing = self.standing()
         probe_running = standing is Standing.PROBING and self.ejection_state.probing
         if standing is Standing.OUT or probe_running:
@@ -119,7 +134,7 @@
         return await self._run_in_slot(ticket, request, sink, profile)
 
     async def _wait_for_slot(self, ticket: Ticket) -> Failure | None:
-        """Wait for a slot; the refusal if there is none in time."""
+        """Wait for a slot; return a failure if there is none in time."""
         waiter = self.waiters[ticket]
         try:
             while self.loop.time() < ticket.latest_start:
@@ -144,40 +159,40 @@
             del self.waiters[ticket]
 
     def _should_move(self, ticket: Ticket) -> bool:
-        """Whether a request waits here while another endpoint has a slot free.
+        """Whether a waiting request should move to another endpoint with a free slot.
 
-        Only the first of the queue moves, or all that wait anywhere would fall on the
-        one free slot. Without moving, a request behind two very long ones misses its
-        deadline while the rest of the service is idle.
+        Without moving, a request that waits behind very long ones misses its deadline
+        while the rest of the service is idle. Only the first request in the queue
+        moves; otherwise all waiting requests would be sent to the same free slot.
         """
         first = self.admission.queue.tickets[0] is ticket
         return first and has_idle_peer(self.peer_loads())
 
     def _withdraw(self, ticket: Ticket, waiter: asyncio.Future) -> None:
-        """Leave the queue, or give back the slot that came in the same moment."""
+        """Leave the queue, or free the slot if one was assigned at the same time."""
         if not self.admission.cancel(ticket) and _has_slot(waiter):
-            self._free_slot(ticket, measured=False)
+            self._free_slot(ticket, record_time=False)
 
     async def _run_in_slot(
         self, ticket: Ticket, request: Request, sink: AnswerSink, profile: Profile
     ) -> Result[int, Failure]:
-        measured = False
+        record_time = False
         try:
             result = await self.call_server(request, sink)
-            measured = self._record_result(result, profile)
+            record_time = self._record_result(result, profile)
             return result
         finally:
-            self._free_slot(ticket, measured=measured)
+            self._free_slot(ticket, record_time=record_time)
 
-    def _free_slot(self, ticket: Ticket, *, measured: bool) -> None:
+    def _free_slot(self, ticket: Ticket, *, record_time: bool) -> None:
         now = self.loop.time()
-        started = self.admission.finish(ticket, now=now, measured=measured)
+        started = self.admission.finish(ticket, now=now, record_time=record_time)
         for next_ticket in started:
             self._resolve(next_ticket, None)
         self._reject_shed(self.admission.shed_late(now))
 
     def _reject_shed(self, shed: Iterable[ShedTicket]) -> None:
-        """Tell those given up at once, so that their callers can go elsewhere."""
+        """Fail shed tickets at once, so that their requests can run elsewhere."""
         for dropped in shed:
             self._resolve(dropped.ticket, dropped.rejection)
 
@@ -186,14 +201,15 @@
         if waiter is not None and not waiter.done():
             waiter.set_result(failure)
         elif failure is None:
-            # Its caller went away in this very turn of the loop; the slot goes on.
-            self._free_slot(ticket, measured=False)
+            # The caller cancelled in the same iteration of the event loop. The slot was
+            # already assigned to its ticket, so pass it on to the next one.
+            self._free_slot(ticket, record_time=False)
 
     def _record_result(self, result: Result[int, Failure], profile: Profile) -> bool:
-        """Judge the endpoint by one result.
+        """Use the result of a request for outlier detection.
 
         Returns:
-            Whether the time that it took tells how long requests take.
+            Whether the request's duration counts as a service time.
         """
         now = self.loop.time()
         match result:
@@ -211,7 +227,7 @@
     def _record_success(self, profile: Profile, now: float) -> None:
         if self.ejection_state.succeed(now):
             self.slow_start.restart(now)
-            # Times of before the ejection would eject it again at once.
+            # Service times from before the ejection would eject it again at once.
             self.admission.times = ServiceTimes()
             log.info("endpoint readmitted")
         if self.admission.times.count < MIN_LATENCY_SAMPLES:
@@ -239,7 +255,7 @@
         return has_room(out, len(loads) + 1, profile.ejection)
 
     def _apply_slow_start(self, profile: Profile, now: float) -> None:
-        """Use fewer slots while the endpoint is new and others can take the load."""
+        """Limit the slots during slow start if another endpoint has a free slot."""
         slots = self.admission.slots
         self.admission.limit = slots
         if has_idle_peer(self.peer_loads()):
@@ -248,7 +264,7 @@
 
 
 def has_idle_peer(loads: Iterable[Load]) -> bool:
-    """Whether any endpoint has a slot free and nothing waiting for it."""
+    """Whether any endpoint has a free slot and no waiting requests for it."""
     return any(load.running + load.waiting < load.slots for load in loads)
 
 
@@ -256,7 +272,7 @@
     return waiter.done() and not waiter.cancelled() and waiter.result() is None
 
 
-def endpoint_of(
+def create_endpoint(
     admission: Admission,
     slow_start: SlowStart,
     server: Address,
@@ -267,10 +283,10 @@
 
     Args:
         admission: Slots and queue.
-        ramp: When the endpoint began.
+        slow_start: Slow start since the endpoint's last start.
         server: The backend server's address.
-        answer_bytes: Limit of an answer's body.
-        peer_loads: Loads of the service's other endpoints.
+        answer_bytes: Returns the largest size of an answer's body, in bytes.
+        peer_loads: Returns the loads of the service's other endpoints.
     """
 
     async def call_server(request: Request, sink: AnswerSink) -> Result[int, Failure]:
--- a/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 on one flow: requests come in whole, answers go out as they come.
+"""HTTP/1.1 on one flow: buffers whole requests and streams the answers.
 
-A connection is tornado's ``HTTP1Connection`` in a loop, one message at a time, so that
-a keep-alive flow is read no faster than it is answered.
+Each request is read with a new ``HTTP1Connection`` of tornado, after the one before it
+was answered. So a keep-alive flow is read no faster than it is answered.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request of a caller, whole.
+    """One complete request of a caller.
 
     ``arrived`` and ``deadline`` are seconds of the event loop's clock. ``key`` is the
     idempotency key, "" for none.
@@ -90,7 +90,7 @@
         return await _was_sent(self.connection.write_headers(line, headers))
 
     async def write(self, chunk: bytes) -> bool:
-        """Send a part of the body, and wait until the caller takes more.
+        """Send a part of the body, and wait until more can be sent.
 
         Returns:
             False if the caller is gone.
@@ -100,24 +100,23 @@
         return await _was_sent(self.connection.write(chunk))
 
     def finish(self) -> None:
-        """End an answer that is whole."""
+        """End an answer whose body has been sent in full."""
         try:
             self.connection.finish()
         except HTTPOutputError as error:
             self.abort(str(error))
 
     def abort(self, reason: str) -> None:
-        """Close the connection, so that what was sent can't be taken for the whole.
+        """Close the connection, so that an incomplete answer can't seem complete.
 
-        A caller that is still there gets half an answer, which is worth a line; one
-        that has hung up is not.
+        This is logged if the caller is still connected and so gets a partial answer.
         """
         if self.begun and not self.connection.stream.closed():
-            log.warning("answer cut", extra={"reason": reason})
+            log.warning("answer aborted", extra={"reason": reason})
         self.connection.close()
 
     async def send_failure(self, failure: Failure) -> None:
-        """Answer in the agent's own name, or cut an answer that has begun."""
+        """Send the agent's own answer, or abort an answer that has begun."""
         if self.begun:
             self.abort(f"{failure.outcome.value}: {failure.reason.value}")
             return
@@ -158,7 +157,7 @@
     def headers_received(
         self, start_line: RequestStartLine, headers: HTTPHeaders
     ) -> None:
-        """Keep the head; a body announced as too large is not kept."""
+        """Keep the head, and note whether the announced body is too large."""
         self.line = start_line
         self.headers = headers
         length = headers.get("Content-Length", "0")
@@ -173,11 +172,11 @@
         self.body += chunk
 
     def finish(self) -> None:
-        """Note that the request is whole."""
+        """Note that the request is complete."""
         self._resolve(True)
 
     def on_connection_close(self) -> None:
-        """Note that the rest will not come."""
+        """Note that the request will not be completed."""
         self._resolve(False)
 
     def _resolve(self, complete: bool) -> None:
@@ -188,21 +187,22 @@
 async def serve_requests(
     stream: IOStream, respond: Respond, *, body_limit: int, idle_seconds: float
 ) -> None:
-    """Read requests from a flow and have each answered, until the flow ends.
+    """Read requests from a flow and answer each, until the flow ends.
 
-    The caller's hanging up cancels the answer that is under way.
+    If the caller disconnects, the request that is being answered is cancelled.
 
     Args:
         stream: The flow.
         respond: Answers one request.
-        body_limit: Bytes of a request's body that are kept.
-        idle_seconds: How long the flow may wait between two requests.
+        body_limit: Largest size of a request's body, in bytes.
+        idle_seconds: How long to wait for the next request or for its body.
     """
     parameters = HTTP1ConnectionParameters(
         max_header_size=MAX_HEADER_BYTES,
         header_timeout=idle_seconds,
         body_timeout=idle_seconds,
-        # Reading a body somewhat over the limit lets the caller hear 413, not a cut.
+        # A body up to twice the limit is read to its end, so that the caller gets a 413
+        # answer and not a closed connection.
         max_body_size=2 * body_limit,
     )
     while not stream.closed():
@@ -224,7 +224,7 @@
 
 
 async def _wait_for_request(incoming: IncomingRequest, reading: asyncio.Future) -> bool:
-    """Wait for a whole request; False if the flow ends before."""
+    """Wait for a complete request; False if the flow ends before."""
     await asyncio.wait(
         {incoming.complete, reading}, return_when=asyncio.FIRST_COMPLETED
     )
@@ -241,7 +241,7 @@
     work = asyncio.ensure_future(respond(incoming, answer))
     connection.set_close_callback(work.cancel)
     if connection.stream.closed():
-        # Closed before the callback stood, so it will never be called.
+        # It closed before the callback was set, so the callback is never called.
         work.cancel()
     try:
         await work
@@ -256,9 +256,9 @@
 
 
 def end_to_end_headers(headers: HTTPHeaders) -> tuple[tuple[str, str], ...]:
-    """Return the headers that concern the ends, not one connection (RFC 9110, 7.6.1).
+    """Return the headers without hop-by-hop ones (RFC 9110, 7.6.1).
 
-    ``Connection`` may name more of the latter.
+    Headers that are named by ``Connection`` are hop-by-hop too.
     """
     connection_headers = {
         name.strip().lower() for name in headers.get("Connection", "").split(",")
--- a/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
@@ -1,4 +1,4 @@
-"""Requests of ``http`` services: the agent's HTTP side, from flow to backend server.
+"""The HTTP gateway of an agent: requests of ``http`` services from flow to server.
 
 async with gateway(settings, configuration, members, peers) as requests:
     await requests.handle_stream(stream, "10.0.0.7")
@@ -35,7 +35,7 @@
 from cornelspan_requests.backend import AnswerSink
 from cornelspan_requests.claims import Claims
 from cornelspan_requests.dispatch import Dispatcher, Peers
-from cornelspan_requests.endpoint import SERVER_ERROR, endpoint_of
+from cornelspan_requests.endpoint import SERVER_ERROR, create_endpoint
 from cornelspan_requests.exchange import (
     Answer,
     IncomingRequest,
@@ -75,7 +75,7 @@
 
 
 class Gateway:
-    """What one agent holds of its service's requests."""
+    """The HTTP gateway of one agent: admission, dispatch, handoffs and key claims."""
 
     def __init__(
         self,
@@ -96,7 +96,7 @@
         self.active = 0
         self.refused_connections = 0
         self.objectives = ObjectiveCounts()
-        endpoint = endpoint_of(
+        endpoint = create_endpoint(
             Admission(settings.slots),
             SlowStart(self.loop.time()),
             settings.endpoint,
@@ -112,22 +112,22 @@
 
     @property
     def profile(self) -> Profile:
-        """The profile in force; the defaults until one is known."""
+        """The profile of the service; default values until one is known."""
         known = self.configuration.profile_of(self.settings.service)
         return known or DEFAULT_PROFILE
 
     @property
     def idle(self) -> bool:
-        """Whether no request is under way, for callers or for other agents."""
+        """Whether no request of a caller or of another agent is being served."""
         handoffs = self.dispatcher.handoffs
         return not self.active and not handoffs.incoming
 
     def own_load(self) -> OwnLoad | None:
-        """Return this endpoint's load; None while it takes nothing new."""
+        """Return this endpoint's load; None while it accepts no new requests."""
         return self.dispatcher.own_load(self.profile)
 
     def register(self, metrics: Metrics) -> None:
-        """Offer what is counted here as metrics."""
+        """Register the metrics of this gateway."""
         admission = self.dispatcher.endpoint.admission
         admission_counts, dispatch_counts = admission.counts, self.dispatcher.counts
         key_store = self.claims.key_store
@@ -160,7 +160,7 @@
 
         Args:
             stream: The flow's bytes.
-            caller: Who is calling, for fairness: its address without the port.
+            caller: The client's address without port, as the unit of fair sharing.
         """
         over_limit = len(self.streams) >= self.settings.connections
         profile = self.profile
@@ -183,22 +183,22 @@
             stream.close()
 
     def receive(self, sender: str, message: Message) -> None:
-        """Take a message of another agent of the service (tags 40-59)."""
+        """Process a message of another agent of the service (tags 40-59)."""
         if isinstance(message, KEY_MESSAGES):
             self.claims.receive(sender, message)
         else:
             self.dispatcher.handoffs.receive(sender, message)
 
     def peer_lost(self, name: str) -> None:
-        """Note that the stream to another agent has ended."""
+        """Fail the handoffs to and from an agent whose stream has ended."""
         self.dispatcher.handoffs.peer_lost(name)
 
     def leave(self) -> None:
-        """Admit nothing new here; requests on the flows still open go to others."""
+        """Stop running new requests here; those on open flows go to other agents."""
         self.dispatcher.leaving = True
 
     async def drain(self, seconds: float) -> None:
-        """Leave, wait for what runs, and hand the claims on keys over.
+        """Leave, wait for running requests, and send the key records to the others.
 
         Args:
             seconds: How long to wait at most.
@@ -210,7 +210,7 @@
         self.claims.leave()
 
     async def watch_members(self) -> None:
-        """Keep the electorate up to date, and join it."""
+        """Keep the voters up to date, join them, and end excess ejections."""
         joining = self.tasks.start(self.claims.join(), name="join electorate")
         try:
             while True:
@@ -302,10 +302,15 @@
 def request_of(
     incoming: IncomingRequest, profile: Profile, caller: str, now: float
 ) -> Request:
-    """Return the request with its deadline and priority.
+    """Return a request with its deadline and priority.
 
-    A caller can shorten the profile's deadline and lower its priority, never the
-    reverse.
+    The headers can only shorten the profile's deadline and lower its priority.
+
+    Args:
+        incoming: The request as it was read.
+        profile: The profile of the service.
+        caller: The client's address without port.
+        now: The time of arrival.
     """
     headers = incoming.headers
     allowed = profile.requests.deadline_seconds
@@ -342,14 +347,15 @@
     *,
     incarnation: int | None = None,
 ) -> AsyncIterator[Gateway]:
-    """Hold the requests of one agent's service for as long as the context lasts.
+    """Run the HTTP gateway of an agent until the context ends.
 
     Args:
         settings: The agent's settings.
-        configuration: What is in force.
+        configuration: The configuration in force.
         members: The members known here.
         peers: The other agents of the service.
-        incarnation: The life of this agent, as its hello says; now if not given.
+        incarnation: The agent's incarnation, as in its hello message; by default the
+            current time in milliseconds.
     """
     own_incarnation = incarnation or time.time_ns() // 1_000_000
     async with task_group() as tasks:
--- a/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
@@ -1,11 +1,11 @@
-"""Requests handed to another agent of the service, and taken from one.
+"""Handoff of requests between the agents of a service.
 
     match await handoffs.send("agent-3", request, answer):
         case Ok(status): ...
 
-The receiver runs a request once it has all of it, and never hands it on again. Answers
-go back in parts; at most ``WINDOW_BYTES`` are under way, so a slow caller holds back
-the backend server and not memory here.
+The receiver runs a request once it has received all of it, and never hands it off
+again. Answers are sent back in parts with at most ``WINDOW_BYTES`` unacknowledged. So a
+slow caller slows the backend server down, and agents don't buffer whole answers.
 """
 
 import asyncio
@@ -52,7 +52,12 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request of another agent: first its body, then its run and the answer."""
+    """A request that another agent handed off to this one.
+
+    First its ``body`` is collected, then ``task`` runs it and sends the answer back.
+    ``sent`` is the offset of the next part of the answer. ``unacknowledged`` counts its
+    bytes that the sender has not yet passed on to the caller.
+    """
 
     start: RequestStart
     sender: str
@@ -70,7 +75,7 @@
         return self.send(self.sender, message)
 
     async def write(self, chunk: bytes) -> bool:
-        """Send a part of the body back, and wait while too much is under way."""
+        """Send a part of the body back; wait while too much is unacknowledged."""
         for start in range(0, len(chunk), PART_BYTES):
             part = chunk[start : start + PART_BYTES]
             while self.unacknowledged >= WINDOW_BYTES:
@@ -82,7 +87,7 @@
         return True
 
     def end_answer(self) -> None:
-        """Send word that the answer is whole."""
+        """Send the end of the answer."""
         self._send_part(b"", last=True)
 
     def _send_part(self, part: bytes, *, last: bool) -> bool:
@@ -91,7 +96,7 @@
         return self.send(self.sender, message)
 
     def acknowledge(self, size: int) -> None:
-        """Note that the caller has taken more."""
+        """Note that ``size`` more bytes were passed on to the caller."""
         self.unacknowledged -= size
         self.window_open.set()
 
@@ -111,7 +116,12 @@
 
 @dataclass
 class Handoffs:
-    """All requests under way between this agent and the others of its service."""
+    """All requests handed off between this agent and the others of its service.
+
+    ``send_message`` sends a message to an agent by name, and returns False if there is
+    no stream to it. ``run`` runs a request of another agent. ``number`` is that of the
+    last request handed off.
+    """
 
     send_message: Send
     run: Run
@@ -123,7 +133,16 @@
     async def send(
         self, name: str, request: Request, sink: AnswerSink
     ) -> Result[int, Failure]:
-        """Have another agent run a request, and pass its answer to a sink."""
+        """Hand a request off to another agent, and pass its answer to a sink.
+
+        Args:
+            name: The other agent.
+            request: The request.
+            sink: Gets the answer as it arrives.
+
+        Returns:
+            The status of an answer that was passed on whole, or why there is none.
+        """
         self.number += 1
         number = self.number
         outgoing = SentRequest(name)
@@ -131,7 +150,7 @@
         finished = False
         try:
             if not await self._send_request(name, number, request):
-                # The receiver runs nothing before the last part, which never left.
+                # The receiver runs a request only once it has the last part.
                 return Err(Failure(RequestOutcome.NOT_RUN, Reason.REFUSED))
             async with asyncio.timeout_at(request.deadline + ANSWER_GRACE_SECONDS):
                 result = await self._pass_answer(outgoing, number, sink)
@@ -145,7 +164,7 @@
                 self.send_message(name, RequestCancel(number))
 
     def receive(self, sender: str, message: Message) -> None:
-        """Take a message about a request from another agent."""
+        """Process a message of another agent about a request."""
         match message:
             case RequestStart(number):
                 incoming = ReceivedRequest(message, sender, self.send_message)
@@ -164,7 +183,7 @@
                     outgoing.answer_messages.put_nowait(message)
 
     def peer_lost(self, name: str) -> None:
-        """Note that the stream to an agent is gone, and all under way with it."""
+        """Fail what was handed off to an agent, and cancel what it handed off here."""
         for outgoing in self.outgoing.values():
             if outgoing.name == name:
                 outgoing.answer_messages.put_nowait(None)
@@ -192,7 +211,7 @@
             if not self.send_message(name, RequestPart(number, at, part, last)):
                 return False
             if not last:
-                # One part a turn of the loop keeps frames under their limit.
+                # One part per iteration of the event loop keeps frames within limits.
                 await asyncio.sleep(0)
         return True
 
@@ -236,7 +255,7 @@
             name = f"request {part.number} of {sender}"
             incoming.task = self.tasks.start(work, name=name)
         elif part.last or not in_order or len(incoming.body) > incoming.start.length:
-            # A part went down with a stream. Run short, it would be another request.
+            # A part was lost with a stream. Without it this would be another request.
             del self.incoming[sender, part.number]
             self._fail(incoming, Failure(RequestOutcome.NOT_RUN, Reason.BROKEN))
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/keyed.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/keyed.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key: run at most once, answered again when repeated."""
+"""Requests with an idempotency key: run at most once, with replay of the answer."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -29,10 +29,10 @@
 
 @dataclass
 class RecordingSink:
-    """Passes an answer to its caller and keeps a copy, if it is small.
+    """Sends an answer to its caller and keeps a copy if it is small enough.
 
-    A caller that has gone away doesn't end the run: cut short, an order might be
-    half cooked, and its repetition would find nothing to be told.
+    The run goes on if the caller disconnects. If it were cancelled, the request might
+    be half done, and the outcome of its repetition would be unknown.
     """
 
     answer: Answer
@@ -43,17 +43,17 @@
 
     @property
     def begun(self) -> bool:
-        """Whether an answer has begun."""
+        """Whether the head of an answer has been sent."""
         return self.head is not None
 
     async def start(self, head: AnswerHead) -> bool:
-        """Take status and headers."""
+        """Send and keep status and headers."""
         self.head = head
         self.caller_gone = self.caller_gone or not await self.answer.start(head)
         return True
 
     async def write(self, chunk: bytes) -> bool:
-        """Take a part of the body."""
+        """Send and keep a part of the body."""
         if len(self.body) + len(chunk) > MAX_KEPT_BYTES:
             self.too_long = True
             self.body.clear()
@@ -63,7 +63,7 @@
         return True
 
     def kept_answer(self) -> KeptAnswer | None:
-        """Return the answer as it is kept, None if it was too long."""
+        """Return the answer to keep; None if it is too long or there is none."""
         if self.head is None or self.too_long:
             return None
         head = self.head
@@ -71,7 +71,7 @@
 
 
 def needs_claim(request: Request) -> bool:
-    """Whether a request's key has to be claimed: a method that isn't idempotent."""
+    """Whether a request has a key to claim: only if its method isn't idempotent."""
     return bool(request.key) and request.method not in IDEMPOTENT_METHODS
 
 
@@ -82,14 +82,14 @@
     serve: Serve,
     tasks: Tasks,
 ) -> Result[int, Failure]:
-    """Run a request if its key has not run, else answer by what has become of it.
+    """Run a request if its key has not run, otherwise answer from its record.
 
     Args:
         request: A request with a key.
-        answer: The way to its caller.
+        answer: Sends the answer to the caller.
         claims: The claims of this agent.
         serve: Runs the request.
-        tasks: Holds the run, which goes on when the caller goes away.
+        tasks: Runs it as a task, which goes on if the caller disconnects.
     """
     if len(request.key) > MAX_KEY_LENGTH:
         return Err(Failure(RequestOutcome.NOT_RUN, Reason.TOO_LARGE))
@@ -111,7 +111,7 @@
 async def _run_claimed(
     request: Request, answer: Answer, claims: Claims, claim: KeyRecord, serve: Serve
 ) -> Result[int, Failure]:
-    """Run under a claim, and tell all others how it ended."""
+    """Run a request under a granted claim, and record how it ended at all agents."""
     sink = RecordingSink(answer)
     state = KeyState.UNKNOWN
     kept = None
@@ -134,7 +134,7 @@
 async def _answer_repeat(
     answer: Answer, record: KeyRecord, fingerprint: int, holder_gone: bool
 ) -> Result[int, Failure]:
-    """Answer a repetition from what is known of the first run."""
+    """Answer a repeated request from the record of the first run."""
     if record.fingerprint != fingerprint:
         return Err(Failure(RequestOutcome.NOT_RUN, Reason.KEY_REUSED))
     if record.state == KeyState.CLAIMED and not holder_gone:
--- a/packages/cornelspan-requests/src/cornelspan_requests/keys.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/keys.py
@@ -1,9 +1,9 @@
-"""What one agent remembers of idempotency keys, and how it votes on claims.
+"""One agent's records of idempotency keys, and its votes on claims.
 
-A request with a key runs only after more than half of the service's agents have
-recorded its claim. Any two such halves share an agent, and that one knows the first
-claim; so a second one fails wherever it arrives, also after the first claimant's death.
-Records live in memory alone and end with the window of the profile.
+A request with a key runs only after a majority of the service's agents have recorded
+its claim. Any two majorities share an agent, which knows the first claim. So a second
+claim on the key is not granted at any agent, even after the first claimant has died.
+Records are kept in memory only, and expire after the window set by the profile.
 """
 
 from collections.abc import Iterable
@@ -19,7 +19,10 @@
 
 
 class KeyState(IntEnum):
-    """How far the run of a key has come."""
+    """The state of the request that runs under a key.
+
+    It is claimed or running, has ended with an answer, or has an unknown outcome.
+    """
 
     CLAIMED = 1
     DONE = 2
@@ -27,7 +30,10 @@
 
 
 class Vote(IntEnum):
-    """A vote on a claim."""
+    """An agent's vote on a claim.
+
+    It recorded the claim, knows another one on the key, or may not vote.
+    """
 
     RECORDED = 1
     KNOWN = 2
@@ -35,12 +41,12 @@
 
 
 def key_digest(key: str) -> bytes:
-    """Return the 128-bit digest that stands for a key."""
+    """Return the 128-bit digest that is sent and stored instead of a key."""
     return xxhash.xxh3_128_digest(key.encode())
 
 
 def fingerprint_of(method: str, target: str, body: bytes) -> int:
-    """Return a digest of a request, which tells a repeated one from another."""
+    """Return a digest that tells whether two requests with the same key are equal."""
     digest = xxhash.xxh3_64(f"{method} {target}\n".encode())
     digest.update(body)
     return digest.intdigest() >> 1
@@ -48,7 +54,7 @@
 
 @dataclass(slots=True)
 class StoredRecord:
-    """A record and when it ends, in seconds of the owner's clock."""
+    """A record and when it expires, in seconds on the owner's clock."""
 
     record: KeyRecord
     expires_at: float
@@ -56,14 +62,17 @@
 
 @dataclass
 class KeyStore:
-    """The records of one agent, oldest first by their first arrival."""
+    """The records of one agent, in the order in which their keys first arrived.
+
+    ``refused`` counts claims that were not recorded because the store was full.
+    """
 
     records: dict[bytes, StoredRecord] = field(default_factory=dict)
     swept_at: float = 0.0
     refused: int = 0
 
     def find(self, key: bytes, now: float) -> KeyRecord | None:
-        """Return what is known of a key, with the time that the record still has."""
+        """Return the record of a key with the seconds until it expires, if any."""
         stored = self.records.get(key)
         if stored is None or stored.expires_at <= now:
             return None
@@ -72,21 +81,28 @@
     def record_claim(
         self, claim: KeyRecord, now: float
     ) -> tuple[Vote, KeyRecord | None]:
-        """Record a claim, or tell what stands in its way."""
+        """Record a claim unless the key has another one or the store is full.
+
+        Returns:
+            The vote, and the record of another claim on the key if there is one.
+        """
         self._drop_expired(now)
         known = self.find(claim.key, now)
         if known is not None:
             same = known.token == claim.token
             return (Vote.RECORDED, None) if same else (Vote.KNOWN, known)
         if len(self.records) >= MAX_RECORDS:
-            # Dropping a record to make room would let its key run again.
+            # Dropping another record to make room could let its request run twice.
             self.refused += 1
             return Vote.NOT_READY, None
         self.records[claim.key] = StoredRecord(claim, now + claim.seconds)
         return Vote.RECORDED, None
 
     def release(self, key: bytes, token: Token) -> bool:
-        """Forget a claim that came to no run; another's claim stays."""
+        """Remove a claim whose request has not run; False if there is none.
+
+        A claim with another token on the same key stays.
+        """
         stored = self.records.get(key)
         if stored is None or stored.record.token != token:
             return False
@@ -96,10 +112,10 @@
         return True
 
     def finish(self, record: KeyRecord, now: float) -> None:
-        """Note how a run ended.
+        """Record how a run ended.
 
-        A record that is here under another claim gives way: only a granted claim
-        finishes, and whoever else claimed the key has not been granted it.
+        This replaces the record of any other claim on the key. Only a granted claim can
+        finish, so the other one was not granted.
         """
         stored = self.records.get(record.key)
         same = stored is not None and stored.record.token == record.token
@@ -108,19 +124,19 @@
         self.records[record.key] = StoredRecord(record, now + record.seconds)
 
     def merge(self, records: Iterable[KeyRecord], now: float) -> None:
-        """Add another agent's records; what has come further wins."""
+        """Add another agent's records; of two on one key, keep the later state."""
         for record in records:
             stored = self.records.get(record.key)
             if stored is None or _supersedes(record, stored.record):
                 self.records[record.key] = StoredRecord(record, now + record.seconds)
 
     def all_records(self, now: float) -> list[KeyRecord]:
-        """Return what is to be handed to an agent that starts."""
+        """Return all records that have not expired, to send to another agent."""
         found = (self.find(key, now) for key in list(self.records))
         return [record for record in found if record is not None]
 
     def _drop_expired(self, now: float) -> None:
-        """Forget ended records, at most once a second."""
+        """Delete expired records, at most once a second."""
         if now - self.swept_at < 1.0:
             return
         self.swept_at = now
@@ -139,7 +155,7 @@
 
 
 def _supersedes(record: KeyRecord, known: KeyRecord) -> bool:
-    """Whether a record tells more than the known one."""
+    """Whether a record has a later state than the known one, or its answer."""
     if record.state != known.state:
         return known.state == KeyState.CLAIMED
     return known.answer is None and record.answer is not None
--- a/packages/cornelspan-requests/src/cornelspan_requests/objectives.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/objectives.py
@@ -49,9 +49,9 @@
         """Count one request.
 
         Args:
-            succeeded: Whether the caller got the answer that it asked for.
+            succeeded: Whether the caller got an answer without a server error.
             seconds: From the request's arrival to the end of its answer.
-            objective: The objective in force, which says how late is bad.
+            objective: The objective in force, with the latency that still is good.
         """
         good = succeeded and seconds <= objective.latency_seconds
         counts = self.minutes.setdefault(self._minute(), [0, 0])
@@ -62,12 +62,16 @@
         self._drop_old_minutes()
 
     def seal(self, minute: int) -> None:
-        """Forget minutes that the store has."""
+        """Delete the counts up to a minute that the store has.
+
+        Args:
+            minute: The last sealed minute, in minutes since the epoch.
+        """
         self.sealed = max(self.sealed, minute)
         self.minutes = {n: c for n, c in self.minutes.items() if n > self.sealed}
 
     def message(self, agent: str, service: str, *, last: bool = False) -> ServiceCounts:
-        """Return what is not sealed yet, as it goes to the relay balancer.
+        """Return the report of all minutes that are not sealed yet.
 
         Args:
             agent: The agent's name.
--- a/packages/cornelspan-requests/src/cornelspan_requests/outcomes.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/outcomes.py
@@ -1,14 +1,14 @@
-"""What a caller is told about its request, and by which status and header.
+"""Outcomes of requests, and the statuses and headers that report them to callers.
 
-Each answer that the agent makes itself carries ``Cornelspan-RequestOutcome``:
+Every answer that the agent creates itself carries ``Cornelspan-Outcome``:
 
-- ``not-run``: no backend server has begun this request, and none will.
+- ``not-run``: no backend server has started this request, and none will.
 - ``unknown``: a backend server may have run it, or may still be running it.
 - ``ran``: it has run; the answer is the server's, or is no longer kept.
 
-An answer passed on from a backend server carries ``ran``. A backend server that turns
-a request away unrun says so with status 503 and ``X-Request-Not-Run: 1``; the agent's
-own answers carry that header too when their outcome is ``not-run``.
+An answer forwarded from a backend server carries ``ran``. A backend server that rejects
+a request without running it answers with status 503 and ``X-Request-Not-Run: 1``. The
+agent's own answers carry that header too if their outcome is ``not-run``.
 """
 
 import math
@@ -27,7 +27,7 @@
 
 
 class RequestOutcome(StrEnum):
-    """How far a request can have come."""
+    """Whether a request has run at a backend server."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
@@ -35,7 +35,7 @@
 
 
 class Reason(StrEnum):
-    """Why the agent answers a request itself."""
+    """Why the agent answers a request itself instead of a backend server."""
 
     QUEUE_FULL = "queue-full"
     CALLER_SHARE = "caller-share"
@@ -57,15 +57,14 @@
 
 
 CALLER_FAULTS = frozenset({Reason.CANCELLED, Reason.TOO_LARGE, Reason.KEY_REUSED})
-"""Reasons that lie with the caller: no backend server could have done better, so they
-say nothing of the service's objective."""
+"""Reasons caused by the caller, which don't count against the service's objective."""
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A request that got no answer from a backend server.
+    """Why a request got no answer from a backend server, and whether it ran.
 
-    ``retry_after`` is in seconds, zero where asking again is of no use.
+    ``retry_after`` is in seconds; zero sends no ``Retry-After`` header.
     """
 
     outcome: RequestOutcome
@@ -74,7 +73,7 @@
 
     @property
     def status(self) -> int:
-        """The HTTP status that goes with the reason and the outcome."""
+        """The HTTP status of the answer."""
         return status_of(self.reason, self.outcome)
 
 
@@ -89,11 +88,11 @@
 
 
 def status_of(reason: Reason, outcome: RequestOutcome) -> int:
-    """Return the status for an answer of the agent's own.
+    """Return the status of an answer that the agent creates itself.
 
-    A request that surely did not run gets 503, so that generic clients may repeat it;
-    one whose outcome is unknown gets 504 after its deadline and 502 otherwise, which
-    they don't repeat unless the method is idempotent.
+    A request that certainly did not run gets 503, so that generic clients may repeat
+    it. One whose outcome is unknown gets 504 after its deadline and 502 otherwise,
+    which clients repeat only if the method is idempotent.
     """
     if reason in FIXED_STATUS:
         return FIXED_STATUS[reason]
@@ -112,10 +111,10 @@
 
 
 def failure_head(failure: Failure, *, length: int) -> AnswerHead:
-    """Return the head of the agent's own answer for a refusal.
+    """Return the head of the agent's own answer to a failed request.
 
     Args:
-        refusal: What happened.
+        failure: Reason and outcome.
         length: Size of the body that follows, in bytes.
     """
     headers = [
--- a/packages/cornelspan-requests/src/cornelspan_requests/queue.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/queue.py
@@ -1,8 +1,9 @@
-"""The bounded queue of requests that wait for a slot.
+"""The queue of requests that wait for a slot.
 
-Order: priority class first, then how crowded the caller is, then deadline. A caller's
-crowding is how many rounds of slots its own requests fill already, so one caller that
-sends a flood, however tight its deadlines, stands behind those who ask for little.
+Requests are ordered by priority, then by the load of their caller, then by deadline.
+The caller load is the number of requests that the caller has running or waiting,
+divided by the number of slots. So a caller that sends many requests with short
+deadlines can't get ahead of callers that send few.
 """
 
 import bisect
@@ -12,22 +13,24 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class QueuePosition:
-    """Where a request stands; the least goes first.
+    """The sort key of a request; the smallest is served first.
 
-    Times are seconds of the clock that the owner of the queue goes by.
+    ``priority`` 0 is the most urgent. ``deadline`` is in seconds on the queue owner's
+    clock. ``arrival`` is the order of arrival.
     """
 
     priority: int
     caller_load: int
     deadline: float
-    number: int
+    arrival: int
 
 
 @dataclass(eq=False, slots=True)
 class Ticket:
-    """One request that asks for a slot.
+    """One request that asks for a slot; times in seconds on the queue owner's clock.
 
-    ``latest_start`` is when it must have a slot so as to end by its deadline.
+    ``arrived`` is when it came, ``started`` when it got its slot, and ``latest_start``
+    when it must get one to finish by its deadline. ``size`` is its body's, in bytes.
     """
 
     caller: str
@@ -42,7 +45,10 @@
 
 @dataclass
 class RequestQueue:
-    """Waiting tickets in order, with counts by caller and of bytes held."""
+    """Waiting tickets in order, with counts by caller and priority.
+
+    ``queued_bytes`` is the size of all waiting bodies.
+    """
 
     tickets: list[Ticket] = field(default_factory=list)
     callers: Counter[str] = field(default_factory=Counter)
@@ -53,22 +59,22 @@
         return len(self.tickets)
 
     def ahead_of(self, position: QueuePosition) -> int:
-        """Return how many tickets go before a place."""
+        """Return how many waiting tickets are served before a position."""
         return bisect.bisect_left(self.tickets, position, key=_position_of)
 
     def add(self, ticket: Ticket) -> None:
-        """Put a ticket at its place."""
+        """Insert a ticket at its position."""
         bisect.insort(self.tickets, ticket, key=_position_of)
         self.callers[ticket.caller] += 1
         self.priorities[ticket.priority] += 1
         self.queued_bytes += ticket.size
 
     def count_up_to(self, priority: int) -> int:
-        """Return how many tickets have this priority or a better one."""
+        """Return how many tickets have this priority or a more urgent one."""
         return sum(n for other, n in self.priorities.items() if other <= priority)
 
     def remove(self, ticket: Ticket) -> bool:
-        """Take a ticket out; False if it is not in the queue."""
+        """Remove a ticket; False if it is not in the queue."""
         index = self.ahead_of(ticket.position)
         if index == len(self.tickets) or self.tickets[index] is not ticket:
             return False
@@ -77,7 +83,7 @@
         return True
 
     def pop(self) -> Ticket:
-        """Take out the first ticket."""
+        """Remove and return the first ticket."""
         ticket = self.tickets.pop(0)
         self._uncount(ticket)
         return ticket
--- a/packages/cornelspan-requests/src/cornelspan_requests/reporting.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/reporting.py
@@ -1,4 +1,4 @@
-"""An agent's reports of its service-level counts to the relays it follows."""
+"""Reports of an agent's service-level counts to the relay balancers it uses."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 async def report_counts(
     counts: ObjectiveCounts, settings: AgentSettings, plane: Plane
 ) -> None:
-    """Report at intervals until cancelled; what is sealed is forgotten."""
+    """Report at jittered intervals until cancelled, and delete sealed minutes."""
     plane.on_sealed = counts.seal
     while True:
         await asyncio.sleep(REPORT_SECONDS * random.uniform(0.8, 1.2))
@@ -21,6 +21,6 @@
 
 
 def report_last(counts: ObjectiveCounts, settings: AgentSettings, plane: Plane) -> None:
-    """Report a last time, as nothing more will be counted in this life."""
+    """Send the last report, after which this process counts nothing more."""
     last = counts.message(settings.name, settings.service, last=True)
     plane.tell_relays(last)
--- a/packages/cornelspan-requests/src/cornelspan_requests/retries.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/retries.py
@@ -1,4 +1,4 @@
-"""Which requests may be tried again, how often, and after which pause."""
+"""Retries: which requests may be retried, with backoff and a budget."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,37 +9,41 @@
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"})
 BUDGET_WINDOW_SECONDS = 10.0
 MIN_RETRIES = 1
-Draw = Callable[[], float]
+RandomFraction = Callable[[], float]
 
 
 def is_repeatable(method: str, failure: Failure) -> bool:
-    """Whether a request that came to nothing may be tried once more.
+    """Whether a failed request may be retried.
 
-    Yes if it surely did not run, or if running it twice is the same as once by its
-    method (RFC 9110, 9.2.2). A key makes no POST repeatable: the run that it guards
-    may have happened.
+    It may if it certainly did not run, or if its method is idempotent (RFC 9110,
+    9.2.2). An idempotency key doesn't make a POST repeatable here: the first run that
+    it protects may have happened.
     """
     return failure.outcome is RequestOutcome.NOT_RUN or method in IDEMPOTENT_METHODS
 
 
-def backoff_pause(attempt: int, policy: RetryPolicy, draw: Draw) -> float:
-    """Return the seconds before a retry: exponential, with full jitter.
+def backoff_pause(
+    attempt: int, policy: RetryPolicy, random_fraction: RandomFraction
+) -> float:
+    """Return the seconds before a retry: exponential backoff with full jitter.
 
     Args:
         attempt: 1 before the first retry.
         policy: Base and limit of the pause.
-        draw: Uniform in [0, 1). Without it all that failed together would come back
-            together.
+        random_fraction: Returns a random number in [0, 1). Without jitter, requests that failed
+            together would be retried together.
     """
     max_pause = policy.backoff_seconds * 2 ** (attempt - 1)
-    return min(policy.backoff_limit_seconds, max_pause) * draw()
+    return min(policy.backoff_limit_seconds, max_pause) * random_fraction()
 
 
 @dataclass
 class RetryBudget:
-    """Retries as a share of the requests of the last 10 to 20 seconds.
+    """Limits retries to a share of the requests of the last 10 to 20 seconds.
 
-    When a service fails, retries without a budget multiply its load just then.
+    Without a budget, retries would multiply the load of a service just when it fails.
+    ``started`` is the start of the current window of ``BUDGET_WINDOW_SECONDS``; the
+    counts of the window before it are kept as well.
     """
 
     started: float = 0.0
@@ -49,12 +53,12 @@
     previous_retries: int = 0
 
     def record_request(self, now: float) -> None:
-        """Count a first attempt."""
+        """Count the first attempt of a request."""
         self._advance(now)
         self.requests += 1
 
     def spend(self, policy: RetryPolicy, now: float) -> bool:
-        """Take one retry out of the budget; False if there is none left."""
+        """Take one retry from the budget; False if none is left."""
         self._advance(now)
         requests = self.requests + self.previous_requests
         allowed = max(MIN_RETRIES, int(requests * policy.budget_share))
@@ -64,7 +68,7 @@
         return True
 
     def _advance(self, now: float) -> None:
-        """Move on to a new window once the present one is over."""
+        """Start a new window once the current one is over."""
         if now - self.started < BUDGET_WINDOW_SECONDS:
             return
         adjacent = now - self.started < 2 * BUDGET_WINDOW_SECONDS
--- a/packages/cornelspan-requests/src/cornelspan_requests/service_times.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/service_times.py
@@ -1,12 +1,12 @@
-"""How long requests hold a slot of late, as a moving mean and spread."""
+"""Moving mean and deviation of the time that requests hold a slot."""
 
 from dataclasses import dataclass
 
 SAMPLE_WEIGHT = 0.05
 INITIAL_MEAN_SECONDS = 0.05
-# A single request that met a busy VM or a cold start says little of the next ones.
-# Believed, it made an endpoint seem slow, which then got no request that could have
-# shown better until its measure was forgotten, ten seconds later.
+# One request on a busy VM or a cold server can take far longer than the next ones.
+# With a mean of fewer samples the endpoint looked slow, so it got no requests that
+# could have corrected the mean until it expired ten seconds later.
 MIN_SAMPLES = 3
 
 
@@ -19,7 +19,7 @@
     count: int = 0
 
     def record(self, seconds: float) -> None:
-        """Take in one request; the first ones weigh as in a plain mean."""
+        """Add one sample; the first ones weigh as in a plain mean."""
         self.count += 1
         weight = max(SAMPLE_WEIGHT, 1 / self.count)
         self.deviation += weight * (abs(seconds - self.mean) - self.deviation)
@@ -27,10 +27,10 @@
 
     @property
     def is_reliable(self) -> bool:
-        """Whether the mean is of enough requests to compare endpoints by."""
+        """Whether there are enough samples to compare endpoints by the mean."""
         return self.count >= MIN_SAMPLES
 
     @property
     def high_estimate(self) -> float:
-        """Seconds to leave for a request that shall end in time more often than not."""
+        """Seconds in which a request finishes more often than not."""
         return self.mean + self.deviation
--- a/packages/cornelspan-requests/src/cornelspan_requests/slow_start.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: an endpoint that is new or back takes its full load little by little."""
+"""Slow start: an endpoint that has just started or recovered gets load gradually."""
 
 from dataclasses import dataclass
 
@@ -7,20 +7,20 @@
 
 @dataclass
 class SlowStart:
-    """When the endpoint last began, in seconds of the clock that the owner goes by."""
+    """When the endpoint last started, in seconds on the owner's clock."""
 
     started: float
 
     def restart(self, now: float) -> None:
-        """Begin again, as after an ejection or a restart of the backend server."""
+        """Begin slow start again, e.g. after an ejection."""
         self.started = now
 
     def share(self, now: float, seconds: float) -> float:
-        """Return the part of the full load to take now, rising in a line to 1.
+        """Return the share of the full load to take now, rising linearly to 1.
 
         Args:
-            now: The clock.
-            seconds: How long the ramp is; zero for none.
+            now: The time.
+            seconds: Duration of slow start; zero for none.
         """
         if seconds <= 0:
             return 1.0
--- a/packages/cornelspan-requests/src/cornelspan_requests/voters.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/voters.py
@@ -1,9 +1,10 @@
-"""Whose votes count on a claim, and when this agent may vote itself.
+"""The agents whose votes on claims count, and whether this agent may vote itself.
 
-The seats are the agents of the service that were seen within the window, dead ones too:
-a dead agent may only be cut off, and its side must not be able to reach a majority of
-its own. A seat is given up by an agent that has handed on its claims, or by time, when
-every record that it held has ended.
+The voters are all agents of the service that were seen within the window, including
+those that seem dead. Such an agent may only be partitioned from this one, and its side
+of the partition must not be able to form a majority of its own. An agent stops being a
+voter when it leaves after sending its records to the others, or once it has been
+missing for so long that all of its records have expired.
 """
 
 from collections.abc import Iterable
@@ -16,22 +17,30 @@
 
 @dataclass(slots=True)
 class Voter:
-    """An agent that was seen; ``lost_at`` is when it was missed first."""
+    """An agent whose vote counts.
+
+    ``incarnation`` is 0 if only other agents have named it so far. ``lost_at`` is when
+    it was first missing from the members, None while it is present.
+    """
 
     incarnation: int
     lost_at: float | None = None
 
 
 def majority(count: int) -> int:
-    """Return how many of so many seats are more than half."""
+    """Return the smallest majority of ``count`` voters."""
     return count // 2 + 1
 
 
 def read_quorum(count: int) -> int:
-    """Return how many others an agent that starts must hear, of so many seats.
+    """Return from how many others a starting agent needs the records.
 
-    A claim that it had recorded itself in an earlier life is known to one less than a
-    majority of the others; so many share one with every such set.
+    A granted claim was recorded by a majority. If this agent's earlier incarnation was
+    part of it, the claim is known to one fewer than a majority of the others. Any set
+    of the returned size includes at least one of these.
+
+    Args:
+        count: The number of voters, including this agent.
     """
     return count - majority(count) + 1
 
@@ -62,12 +71,12 @@
         return set(self.by_name)
 
     def observe(self, members: Iterable[Announce], now: float, window: float) -> None:
-        """Bring the seats up to date with the members known now.
+        """Update the voters from the members known now.
 
         Args:
             members: The agents of the service.
-            now: The clock.
-            window: Seconds that a lost agent keeps its seat.
+            now: The time.
+            window: Seconds for which a lost agent stays a voter.
         """
         present = {member.name: member.incarnation for member in members}
         for name, incarnation in present.items():
@@ -77,7 +86,7 @@
                 self._mark_missing(name, now, window)
 
     def add_voter(self, name: str, incarnation: int) -> None:
-        """Give an agent its seat; one that came back may have lost its claims."""
+        """Add an agent or note its restart, after which it may lack records."""
         if incarnation <= self.left_incarnations.get(name, 0):
             return
         voter = self.by_name.get(name)
@@ -85,19 +94,20 @@
             self.by_name[name] = Voter(incarnation)
             return
         if name == self.name:
-            # Our own earlier life, still among the members: it had claims, now lost.
+            # This agent's earlier incarnation is still a member. Its records are lost.
             self.restart_seen = self.restart_seen or incarnation < self.incarnation
             return
         if incarnation > voter.incarnation:
-            # A seat of life 0 was only heard of from another agent. Taken for a return,
-            # the first sight of it would keep a new service from voting for a window.
+            # A voter of incarnation 0 is only known from another agent. If its first
+            # announcement counted as a restart, the agents of a new service could not
+            # vote for the whole window.
             self.restart_seen = self.restart_seen or voter.incarnation > 0
             self.by_name[name] = Voter(incarnation)
         elif incarnation == voter.incarnation:
             voter.lost_at = None
 
     def remove_voter(self, name: str, incarnation: int) -> None:
-        """Take the seat of an agent that has handed on its claims."""
+        """Remove an agent that has left and has sent its records to the others."""
         self.left_incarnations[name] = max(
             incarnation, self.left_incarnations.get(name, 0)
         )
@@ -108,13 +118,13 @@
     def record_sync(
         self, name: str, *, ready: bool, restart_seen: bool, others: Iterable[str]
     ) -> None:
-        """Note that an agent has handed over all its records.
+        """Note that an agent has sent all its records.
 
         Args:
-            name: Who answered.
-            ready: Whether it votes, so that its records count as complete.
+            name: The agent.
+            ready: Whether it may vote, so that its records count as complete.
             earlier: Whether it knows of an earlier life of the service.
-            others: The seats as it sees them; unknown ones are taken in.
+            others: The voters that it knows; unknown ones are added.
         """
         self.restart_seen = self.restart_seen or restart_seen
         for other in others:
@@ -127,12 +137,22 @@
             self.synced_unready.add(name)
 
     def update_ready(self, now: float, window: float) -> bool:
-        """Work out whether this agent may vote, and return it.
+        """Update and return whether this agent may vote.
+
+        It may vote once one of these holds:
 
-        It may once it has the records of so many that every earlier majority is among
-        them; or when it has those of all, and none knows of an earlier life whose
-        records are lost; or when it has been here so long that all earlier claims have
-        ended. Else it would answer for keys that it has lost, and one would run twice.
+        - It has the records of a read quorum of agents that may vote, so that it knows
+          every claim that was granted before.
+        - It has the records of all voters, none of them is lost, and no restart is
+          known, so that no records are lost.
+        - It has run for the whole window, so that all earlier claims have expired.
+
+        Before that it may lack a record, and voting for a new claim on the same key
+        would let a request run twice.
+
+        Args:
+            now: The time.
+            window: Seconds after which all claims of before the start have expired.
         """
         if self.ready or now - self.started < MIN_JOIN_SECONDS:
             return self.ready
