--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -1,4 +1,4 @@
-"""The agent daemon: beside one endpoint, owner of the flows that run there."""
+"""The agent daemon: runs beside one endpoint and owns the flows placed there."""
 
 import asyncio
 import dataclasses
@@ -83,11 +83,11 @@
 
     @property
     def profile(self) -> Profile:
-        """The profile that the service runs under here and now."""
+        """The profile of the service; default values until one is known."""
         return self.configuration.profile_of(self.settings.service) or DEFAULT_PROFILE
 
     def announcement(self) -> Announce:
-        """What this agent says of itself."""
+        """Return the announcement of this agent as a member."""
         settings = self.settings
         return Announce(
             name=settings.name,
@@ -103,13 +103,13 @@
         )
 
     def transmit(self, packet: Packet) -> None:
-        """Send a packet straight to the fabric that its flow came from."""
+        """Send a packet directly to the fabric that its flow came from."""
         peer = self.fabrics.get(packet.fabric)
         if peer is not None:
             peer.send(packet)
 
     async def serve_fabric(self, peer: Peer) -> None:
-        """Hold the stream to one fabric; nothing comes back on it."""
+        """Keep the stream to one fabric, and count all that it sends as refused."""
         async for batch in batches(peer):
             peer.refused += len(batch)
 
@@ -131,16 +131,16 @@
             self.gateway.peer_lost(peer.name)
 
     def _receive(self, peer: Peer, message: Message) -> None:
-        """Take in a message that is not of the flow layer."""
+        """Process a message that is not about flows."""
         if isinstance(message, Gone):
-            # Another agent has left in order; only its own word counts here.
+            # Another agent has left. Only a message of its own counts here.
             if message.name == peer.name:
                 self.members.remove(message.name, message.incarnation)
             return
         self.gateway.receive(peer.name, message)
 
     def load(self) -> OwnLoad:
-        """Return the load of the endpoint; without slots while it takes nothing."""
+        """Return the load of the endpoint; with no slots if it accepts no requests."""
         if self.profile.kind != "http":
             return self.router.flow_load()
         measured = self.gateway.own_load()
@@ -150,7 +150,7 @@
         return dataclasses.replace(measured, waiting=waiting)
 
     def renew(self, incarnation: int) -> None:
-        """Begin a new life, since others took the present one for ended."""
+        """Continue under a new incarnation, as others detected this one as failed."""
         self.router.renew(incarnation)
         self.hello = msgspec.structs.replace(self.hello, incarnation=incarnation)
         for holder in (self.fabrics, self.agents, self.server):
@@ -166,7 +166,7 @@
         self.agents.keep_only({other.name for other in others})
 
     async def leave(self) -> None:
-        """Stop in order: take nothing new, tell all, let the running flows finish."""
+        """Shut down: accept no new flows, announce it, and drain the running ones."""
         self.router.leaving = True
         self.leaving = True
         self.gateway.leave()
@@ -180,10 +180,10 @@
         log.info("agent left", extra={"flows": len(self.flows.owned)})
 
     async def _wait_for_flows(self, deadline: float) -> None:
-        """Wait until the flows have ended, or nobody is left to carry them.
+        """Wait until the flows have ended, or no fabric is connected any more.
 
-        When a whole site stops, the fabric may go first. Its flows can't end in order
-        any more, and waiting for them held the stop up for all of ``drain_seconds``.
+        When a whole site stops, the fabric may stop first. Its flows can't finish then,
+        and waiting for them delayed the shutdown by all of ``drain_seconds``.
         """
         connected_at = time.monotonic()
         while self.flows.owned and time.monotonic() < deadline:
@@ -194,10 +194,10 @@
             await asyncio.sleep(LEAVE_POLL_SECONDS)
 
     async def _hand_over_flows(self) -> None:
-        """Give what is known of others' flows to their next homes, then say good-bye.
+        """Send the records of other agents' flows to their next homes, then ``Gone``.
 
-        This comes last, when no packet of a flow owned here is on its way any more. The
-        others then need not wait until they suspect this agent.
+        This is the last step, when no packets of flows owned here are in flight. After
+        ``Gone`` the others don't have to wait for failure detection.
         """
         self.router.retire()
         await asyncio.sleep(RETIRE_FLUSH_SECONDS)
@@ -207,7 +207,7 @@
             peer.flush()
 
     def register(self, metrics: Metrics) -> None:
-        """Offer what is counted here as metrics."""
+        """Register the metrics of this agent."""
         self.gateway.register(metrics)
         flows = self.flows.counts
         routing = self.router.counts
@@ -226,7 +226,7 @@
         metrics.count("packets_unknown", "Of unknown flows", lambda: routing.unknown)
 
     async def serve_flow(self, channel: Channel) -> None:
-        """Carry one flow to the backend server, as its service's profile says."""
+        """Serve one flow as the kind of its service's profile requires."""
         if self.profile.kind == "http":
             await serve_http(channel, self.gateway)
         else:
@@ -241,13 +241,14 @@
     *,
     tls: Tls = PLAIN,
 ) -> AsyncIterator[Agent]:
-    """Run an agent as long as the context lasts.
+    """Run an agent until the context ends.
 
     Args:
         settings: The agent's settings.
-        configuration: What is in force; kept current here.
-        members: The members known; kept current here.
-        tls: Contexts of streams and store; off by default, and for fabrics always.
+        configuration: The configuration in force; the agent keeps it up to date.
+        members: The known members; the agent keeps them up to date.
+        tls: TLS contexts for streams and the store; none by default. Streams to fabrics
+            never use TLS.
     """
     async with task_group() as tasks:
         state = Agent(settings, configuration, members, tasks, tls)
--- a/packages/cornelspan-agent/src/cornelspan_agent/serving.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/serving.py
@@ -1,4 +1,4 @@
-"""From a flow to the backend server: as bytes, or by way of the agent's HTTP side."""
+"""Serving of flows: bytes to the backend server, or requests to the HTTP gateway."""
 
 import asyncio
 import socket
@@ -12,7 +12,7 @@
 
 
 async def serve_bytes(channel: Channel, endpoint: Address) -> None:
-    """Carry a flow of a ``stream`` profile on one connection to the backend server."""
+    """Forward a flow of a ``stream`` profile over one connection to the server."""
     try:
         reader, writer = await asyncio.open_connection(endpoint.host, endpoint.port)
     except OSError as error:
@@ -22,9 +22,9 @@
 
 
 async def serve_http(channel: Channel, gateway: Gateway) -> None:
-    """Carry a flow of an ``http`` profile to the agent's HTTP side.
+    """Forward a flow of an ``http`` profile to the agent's HTTP gateway.
 
-    tornado's HTTP server reads from a socket only, so the two meet in a socket pair.
+    tornado's HTTP code reads only from sockets, so a socket pair connects the two.
     """
     ours, theirs = socket.socketpair()
     reader, writer = await asyncio.open_connection(sock=ours)
@@ -33,7 +33,7 @@
     )
     try:
         await pump(channel, reader, writer)
-        # A flow that ended in order ends its stream too, and so the handler.
+        # A flow that was finished ends its stream too, and so the handler.
         await handled
     finally:
         handled.cancel()
--- a/packages/cornelspan-daemon/src/cornelspan_daemon/main.py
+++ b/packages/cornelspan-daemon/src/cornelspan_daemon/main.py
@@ -75,7 +75,7 @@
                 return report_error(str(error))
 
 
-@cappa.command(name="check", help="Check a settings file; exit 2 if it is refused.")
+@cappa.command(name="check", help="Check a settings file; exit 2 if it is invalid.")
 @dataclass(frozen=True)
 class CheckCommand:
     """Check a settings file without running anything.
@@ -83,14 +83,14 @@
     Example: cornelspand check balancer --settings examples/balancer-1.json
     """
 
-    role: Annotated[Role, cappa.Arg(help="Whose settings the file holds.")]
+    role: Annotated[Role, cappa.Arg(help="The role that the settings are for.")]
     settings: SettingsFile
 
     def __call__(self) -> int:
-        """Report the first field at fault."""
+        """Report the first invalid field."""
         match load_settings(self.settings, SETTINGS_BY_ROLE[self.role]):
             case Ok(_):
-                print(f"{self.settings}: good settings of a {self.role}")
+                print(f"{self.settings}: valid settings for role {self.role}")
                 return 0
             case Err(error):
                 return report_error(str(error))
@@ -107,7 +107,7 @@
 def run_with_tls(
     settings: DaemonType, run: Callable[[DaemonType, Tls], Coroutine[Any, Any, None]]
 ) -> int:
-    """Open the TLS files that the settings name, and run a daemon with them."""
+    """Load the TLS files that the settings name, and run a daemon with them."""
     match open_tls(settings.tls):
         case Ok(tls):
             asyncio.run(run(settings, tls))
@@ -117,7 +117,7 @@
 
 
 def report_error(reason: str) -> int:
-    """Say why settings are refused and return the exit code."""
+    """Print why the settings are invalid, and return the exit code."""
     print(reason, file=sys.stderr)
     return EXIT_BAD_SETTINGS
 
--- a/packages/cornelspan-daemon/src/cornelspan_daemon/running.py
+++ b/packages/cornelspan-daemon/src/cornelspan_daemon/running.py
@@ -1,4 +1,4 @@
-"""Running one daemon as a process: from its settings to an orderly stop."""
+"""Run one daemon as a process until a signal stops it."""
 
 import asyncio
 import signal
@@ -18,7 +18,7 @@
 
 
 async def run_balancer(settings: BalancerSettings, tls: Tls) -> None:
-    """Run a balancer until it is told to stop, then let it leave in order."""
+    """Run a balancer until a signal stops it, then shut it down gracefully."""
     start_logging(settings.log, process=settings.name)
     configuration = Configuration()
     with stop_event() as stop, metrics_endpoint(settings.metrics):
@@ -29,7 +29,7 @@
 
 
 async def run_agent(settings: AgentSettings, tls: Tls) -> None:
-    """Run an agent until it is told to stop, then let its flows finish."""
+    """Run an agent until a signal stops it, then drain its flows."""
     start_logging(settings.log, process=settings.name)
     configuration = Configuration()
     with stop_event() as stop, metrics_endpoint(settings.metrics):
@@ -41,7 +41,7 @@
 
 @contextmanager
 def stop_event() -> Iterator[asyncio.Event]:
-    """Yield an event that is set by the signals that ask for an orderly stop."""
+    """Yield an event that is set by the signals that request a graceful shutdown."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in STOP_SIGNALS:
