--- a/packages/cornelspan-requests/src/cornelspan_requests/backend.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/backend.py
@@ -55,7 +55,7 @@
     """Passes an answer on to its sink, and records how much of it arrived.
 
     ``shed`` is set if the server rejected the request without running it, ``unframed``
-    if the end of the answer could not be told from a broken connection.
+    if the end of the answer can't be told from a broken connection.
     """
 
     sink: AnswerSink
--- a/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
@@ -95,9 +95,9 @@
         if not self.ejection_state.ejected:
             return
         loads = list(self.peer_loads())
-        out = [name, *(load.name for load in loads if load.slots == 0)]
+        unavailable = [name, *(load.name for load in loads if load.slots == 0)]
         share = profile.ejection.share_limit
-        if must_return(name, out, len(loads) + 1, share):
+        if must_return(name, unavailable, len(loads) + 1, share):
             self.ejection_state.readmit()
             log.warning("endpoint readmitted", extra={"why": "too many ejected"})
 
@@ -106,8 +106,8 @@
         standing = self.standing()
         probe_running = standing is Standing.PROBING and self.ejection_state.probing
         if standing is Standing.OUT or probe_running:
-            left = self.ejection_state.ejected_until - self.loop.time()
-            return Failure(RequestOutcome.NOT_RUN, Reason.EJECTED, max(1.0, left))
+            remaining = self.ejection_state.ejected_until - self.loop.time()
+            return Failure(RequestOutcome.NOT_RUN, Reason.EJECTED, max(1.0, remaining))
         return None
 
     async def _admit(
@@ -251,8 +251,8 @@
             log.warning("endpoint ejected", extra={"why": "failures"})
 
     def _may_eject(self, profile: Profile, loads: list[Load]) -> bool:
-        out = sum(1 for load in loads if load.slots == 0)
-        return has_room(out, len(loads) + 1, profile.ejection)
+        unavailable = sum(1 for load in loads if load.slots == 0)
+        return has_room(unavailable, len(loads) + 1, profile.ejection)
 
     def _apply_slow_start(self, profile: Profile, now: float) -> None:
         """Limit the slots during slow start if another endpoint has a free slot."""
--- a/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
@@ -204,14 +204,14 @@
             seconds: How long to wait at most.
         """
         self.leave()
-        ends = self.loop.time() + seconds
-        while not self.idle and self.loop.time() < ends:
+        deadline = self.loop.time() + seconds
+        while not self.idle and self.loop.time() < deadline:
             await asyncio.sleep(0.02)
         self.claims.leave()
 
     async def watch_members(self) -> None:
         """Keep the voters up to date, join them, and end excess ejections."""
-        joining = self.tasks.start(self.claims.join(), name="join electorate")
+        joining = self.tasks.start(self.claims.join(), name="join voters")
         try:
             while True:
                 self._observe_members()
--- a/packages/cornelspan-requests/src/cornelspan_requests/retries.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/retries.py
@@ -30,8 +30,8 @@
     Args:
         attempt: 1 before the first retry.
         policy: Base and limit of the pause.
-        random_fraction: Returns a random number in [0, 1). Without jitter, requests that failed
-            together would be retried together.
+        random_fraction: Returns a random number in [0, 1). Without jitter, requests
+            that failed together would be retried together.
     """
     max_pause = policy.backoff_seconds * 2 ** (attempt - 1)
     return min(policy.backoff_limit_seconds, max_pause) * random_fraction()
--- a/packages/cornelspan-requests/src/cornelspan_requests/voters.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/voters.py
@@ -51,6 +51,9 @@
 
     ``restart_seen`` is set when an agent of the service is known to have restarted: its
     earlier incarnation may have recorded claims that this agent doesn't have.
+    ``left_incarnations`` are the incarnations of agents that have left. ``ready`` tells
+    whether this agent may vote. ``synced_ready`` and ``synced_unready`` are agents that
+    have sent all their records, and that may vote or may not vote yet.
     """
 
     name: str
@@ -123,7 +126,7 @@
         Args:
             name: The agent.
             ready: Whether it may vote, so that its records count as complete.
-            earlier: Whether it knows of an earlier life of the service.
+            restart_seen: Whether it knows that an agent of the service has restarted.
             others: The voters that it knows; unknown ones are added.
         """
         self.restart_seen = self.restart_seen or restart_seen
--- a/tests/http_fakes.py
+++ b/tests/http_fakes.py
@@ -1,4 +1,4 @@
-"""A tiny backend server and caller for the tests of requests."""
+"""Backend server, caller and group of gateways for the tests of requests."""
 
 import asyncio
 import socket
@@ -31,7 +31,10 @@
 
 @dataclass
 class FakeServer:
-    """Counts what runs; ``behave`` may replace the answer."""
+    """Records the requests that run.
+
+    ``behave`` is called with each handler; if it returns True, it has sent the answer.
+    """
 
     port: int
     seconds: float = 0.0
@@ -116,7 +119,7 @@
 
 
 class Group:
-    """Gateways of one service, joined by links that lose nothing but can be cut."""
+    """Gateways of one service with reliable links between them, which can be cut."""
 
     def __init__(self):
         self.gateways = {}
@@ -165,7 +168,7 @@
             await asyncio.sleep(0.005)
 
     async def start(self, name, port, *, incarnation=1, profile=None, slots=2):
-        """Start an agent; it ends with ``kill`` or with the group."""
+        """Start an agent; it runs until ``kill`` or until the group ends."""
         started = asyncio.Event()
         stop = asyncio.Event()
 
@@ -187,7 +190,7 @@
         return self.gateways[name]
 
     async def kill(self, name):
-        """End an agent at once, without any message of its own."""
+        """Stop an agent at once, without sending any message."""
         del self.gateways[name]
         task, _ = self.tasks.pop(name)
         task.cancel()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Slots, queue and shedding, driven by a made-up clock."""
+"""Slots, queue and shedding with a simulated clock."""
 
 from hypothesis import given, strategies as st
 
@@ -110,7 +110,8 @@
 
 
 def test_crowding_goes_before_deadline():
-    # A flood with tight deadlines would, by deadline alone, always go first.
+    # Ordered by deadline alone, a caller with many requests and short deadlines would
+    # always be served first.
     policy = RequestPolicy(queue=20, caller_share=1.0)
     admission = Admission(1)
     for _ in range(10):
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,8 +1,9 @@
-"""Seeded runs of the real code of keyed requests: agents die, restart and get cut off.
+"""Seeded simulations of keyed requests while agents die, restart or are partitioned.
 
-The bus between the agents keeps the order of a link, delays at random and loses what
-an agent's death or a cut leaves under way. Servers outlive their agents and lose
-answers. Callers repeat an order at any agent until they know what became of it.
+The code of claims and voters is real, the links and servers are simulated. A link keeps
+the order of messages, delays them at random, and loses those in flight when an agent
+dies or is cut off. A request goes on at its server after its agent has died, and some
+answers are lost. Callers repeat an order at any agent until they know its outcome.
 """
 
 import asyncio
@@ -45,7 +46,12 @@
 
 @dataclass
 class Simulation:
-    """All agents and servers of one seeded run, and what has really happened."""
+    """All agents and servers of one seeded run.
+
+    ``runs`` counts the actual runs of each order, and ``outcomes`` the outcomes that
+    callers got. ``false_not_run`` lists orders that were reported as not run but had
+    run. ``cut`` are agents that are partitioned from the others.
+    """
 
     seed: int
     size: int
@@ -63,7 +69,7 @@
         self.members = {}
 
     def start(self, name):
-        """Start an agent with an empty memory; others hear of it one by one."""
+        """Start an agent without records; the others learn of it at different times."""
         self.incarnations[name] += 1
         incarnation = self.incarnations[name]
         agent = AgentIncarnation(self, name, incarnation)
@@ -91,7 +97,7 @@
         agent.begin()
 
     def kill(self, name):
-        """End an agent at once; the others notice at different moments."""
+        """Stop an agent at once; the others detect it at different times."""
         agent = self.agents.pop(name)
         agent.end()
         for other in self.agents.values():
@@ -99,7 +105,7 @@
             self.loop.call_later(delay, other.members.remove, name, agent.incarnation)
 
     def send(self, sender, to, message):
-        """Send in order and late; False if there is no stream."""
+        """Deliver a message in order after a random delay; False without a stream."""
         receiver = self.agents.get(to)
         if receiver is None or sender.ended or self.is_cut(sender.name, to):
             return False
@@ -117,7 +123,7 @@
         return (one in self.cut) != (other in self.cut)
 
     async def run_at_server(self, order):
-        """Run an order at some server; it goes on whatever becomes of its agent."""
+        """Run an order at a server; it goes on even if its agent dies."""
         draw = self.random.random()
         if draw < 0.1:
             return Err(Failure(RequestOutcome.NOT_RUN, Reason.REFUSED))
@@ -129,7 +135,7 @@
 
 
 class AgentIncarnation:
-    """One life of an agent, with the real claims and electorate."""
+    """One incarnation of an agent, with the real claims and voters."""
 
     def __init__(self, simulation, name, incarnation):
         self.simulation = simulation
@@ -185,7 +191,7 @@
 
 
 async def call(simulation, order):
-    """Repeat an order until its fate is known or the caller's patience ends."""
+    """Repeat an order until its outcome is known, at most ``FINAL`` times."""
     for _ in range(FINAL):
         await asyncio.sleep(simulation.random.uniform(0, 0.8))
         if not simulation.agents:
@@ -211,7 +217,7 @@
 
 
 async def break_things(simulation):
-    """Kill, restart and cut agents off, never more than a few at once."""
+    """Kill, restart, add or cut off agents at random; kill only if three are left."""
     for _ in range(8):
         await asyncio.sleep(simulation.random.uniform(0.2, 1.2))
         fault = simulation.random.choice(("kill", "restart", "cut", "join"))
@@ -232,7 +238,7 @@
 
 
 async def one_run(seed):
-    # Jitter is drawn from the module's own numbers, so they are seeded as well.
+    # Jitter uses the random module's global generator, so seed that as well.
     random.seed(seed)
     simulation = Simulation(seed, size=3 + seed % 5)
     for number in range(simulation.size):
@@ -241,7 +247,7 @@
     callers = [
         asyncio.create_task(call(simulation, f"order-{n}"))
         for n in range(ORDERS)
-        # Each order is also sent twice at once, as by a double tap.
+        # Each order is sent twice at the same time, as by a double click.
         for _ in range(2)
     ]
     breaking = asyncio.create_task(break_things(simulation))
@@ -272,7 +278,7 @@
     print(dict(total))
     assert total["doubles"] == 0
     assert total["false_not_run"] == 0
-    # Failing closed is worth nothing if it refuses all; most orders must get through.
+    # The check would be worthless if all orders were rejected; most must run.
     assert total["runs"] >= 0.6 * ORDERS * len(seeds)
 
 
@@ -287,9 +293,9 @@
 
 @pytest.mark.parametrize("fault", ["no majority", "votes at once"])
 def test_planted_fault_is_found(monkeypatch, fault):
-    # Two rules are taken away in turn: that a claim needs more than half, and that an
-    # agent with an empty memory waits. The sweep must see double runs, or it proves
-    # nothing when it sees none.
+    # Disables one rule: that a claim needs a majority, or that an agent without records
+    # waits before it votes. The simulation must then find double runs; otherwise
+    # finding none in the other tests proves nothing.
     if fault == "no majority":
         monkeypatch.setattr(claims_module, "majority", lambda count: 1)
     else:
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection, slow start and retry budget, driven by a made-up clock."""
+"""Ejection, slow start and retry budget with a simulated clock."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -78,14 +78,14 @@
         if has_room(len(out), group, policy):
             out.append(name)
     assert len(out) <= group * share
-    # All leave at once, each before it has heard of the others.
+    # All are ejected at once, each before its agent knows about the others.
     staying_out = [n for n in names if not must_return(n, names, group, share)]
     assert len(staying_out) <= group * share
 
 
 @given(st.lists(st.floats(0, 0.5), min_size=50, max_size=400))
 def test_retries_keep_to_their_share(pauses):
-    # Every request fails and wants two retries; the load must not triple.
+    # Every request fails and asks for two retries; the load must not triple.
     budget, policy = RetryBudget(), RetryPolicy(budget_share=0.1)
     now, retries = 0.0, 0
     for pause in pauses:
--- a/tests/test_electorate.py
+++ b/tests/test_electorate.py
@@ -1,4 +1,4 @@
-"""Who may vote on claims, and when."""
+"""Which agents are voters on claims, and when an agent may vote."""
 
 from hypothesis import given, strategies as st
 
@@ -26,15 +26,15 @@
 @given(st.integers(1, 50))
 def test_quorums_always_meet(count):
     assert 2 * majority(count) > count
-    # One seat's own vote is lost with its earlier life.
+    # The record of one voter is lost when it restarts.
     assert (majority(count) - 1) + read_quorum(count) > count - 1
 
 
 @given(st.sets(st.sampled_from(NAMES[1:])))
 def test_new_agents_become_ready_in_any_order(already_ready):
-    # All start together and some are ready first. Each of the others has heard of
-    # some that vote and of some that don't; were neither kind enough by itself, they
-    # would wait for each other for the whole window.
+    # All agents start together and some may vote earlier than others. An agent then has
+    # the records of some that may vote and of some that may not yet. If only one of
+    # the two kinds counted, agents would wait for each other for the whole window.
     voters = observing_voters()
     sync_from(voters, already_ready, ready=True)
     sync_from(voters, set(NAMES[1:]) - already_ready, ready=False)
@@ -79,7 +79,7 @@
 
 
 def learn_of_third_agent():
-    """An agent hears of hub-3 from hub-2 before hub-3 is announced to it."""
+    """Return the voters of an agent that knows hub-3 only from hub-2."""
     voters = VoterSet("hub-1", 102, 0.0)
     voters.observe([member("hub-1", 102), member("hub-2", 102)], 0.0, 600.0)
     voters.record_sync("hub-2", ready=False, restart_seen=False, others=NAMES[:3])
@@ -87,9 +87,10 @@
 
 
 def test_agent_first_heard_of_from_another_is_no_return():
-    # A service starts for the first time, and news of its agents comes by two ways.
-    # Taken for a restart, the third agent's first announcement kept everyone from
-    # voting, and every order with a key got "outcome unknown" for ten minutes.
+    # When a service starts for the first time, an agent may learn of a third one from
+    # the second before the third is announced. If that announcement counted as a
+    # restart, no agent could vote, and every request with a key got "outcome unknown"
+    # for ten minutes.
     voters = learn_of_third_agent()
     voters.observe([member(name, 102) for name in NAMES[:3]], 1.0, 600.0)
     voters.record_sync("hub-3", ready=False, restart_seen=False, others=NAMES[:3])
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -23,9 +23,9 @@
 
 
 async def test_one_slow_request_does_not_keep_an_endpoint_without_work(port):
-    # An endpoint's first request after its start meets a busy VM. Told at once as the
-    # time of all its requests, it would look slow to its peers, which then send it
-    # nothing that could show better until that is forgotten, ten seconds later.
+    # The first request after an endpoint's start may be slow because the VM is busy. If
+    # the mean of this one sample were reported, peers would send the endpoint nothing
+    # that could correct it until it expires ten seconds later.
     async with fake_server(port, seconds=0.05), running_gateway(port) as gateway:
         caller = Caller(gateway)
         await caller.ask(body=b"slow")
@@ -58,8 +58,8 @@
 
 
 async def test_server_that_breaks_after_the_request_is_unknown(port):
-    # The server takes an order and dies before it answers. The kitchen may have the
-    # ticket, so the caller must not hear "not run".
+    # The server reads a request and dies before it answers. It may have run it, so the
+    # outcome must not be "not-run".
     async def die(handler):
         handler.request.connection.stream.close()
         return True
@@ -72,8 +72,8 @@
 
 
 async def test_answer_broken_half_way_is_cut(port):
-    # The server promises 100 bytes, sends 10 and dies. Passed on as they are and
-    # ended in order, they would look like a whole answer of a shorter length.
+    # The server announces 100 bytes, sends 10 and dies. If the answer were ended
+    # normally after them, a partial answer would look complete.
     async def half(handler):
         stream = handler.request.connection.stream
         await stream.write(
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -1,4 +1,4 @@
-"""Requests that move between the agents of a service, and the agents' leaving."""
+"""Handoff of requests between the agents of a service, and draining of agents."""
 
 import asyncio
 
@@ -44,8 +44,8 @@
 
 
 async def test_order_whose_server_broke_is_not_run_elsewhere(ports):
-    # The server takes the order and dies. Moved to the next endpoint, the kitchen
-    # would cook it twice, since the first may have run it.
+    # The server reads an order and dies. It may have run the order, so running it again
+    # at the next endpoint could run it twice.
     async def die(handler):
         handler.request.connection.stream.close()
         return True
@@ -94,8 +94,8 @@
 
 
 async def test_agent_killed_with_a_handed_over_order_leaves_it_unknown(ports):
-    # hub-1 has handed an order to hub-2, which dies while the server runs it. Whether
-    # the server finished nobody can tell, so the caller hears "unknown".
+    # hub-1 has handed an order off to hub-2, which dies while the server runs it. The
+    # server may have finished it, so the outcome is "unknown".
     async with (
         fake_server(ports[1], seconds=0.5) as second,
         running_group(ports[:2]) as group,
@@ -111,9 +111,9 @@
 
 
 async def test_killed_agent_cuts_a_begun_answer(ports):
-    # Half an answer has reached the caller when the agent that reads it dies. A retry
-    # would add a second answer to the first half, and ending it in order would make
-    # the half look whole; so the flow is cut.
+    # An agent dies when half of its answer has reached the caller. A retry would append
+    # a second answer to the first half, and ending the answer normally would make it
+    # look complete. So the flow must be closed.
     async def slow(handler):
         handler.write(b"x" * 1000)
         await handler.flush()
@@ -131,8 +131,9 @@
 
 
 async def test_leaving_agent_finishes_what_runs_and_starts_nothing(ports):
-    # A planned stop while one order runs and more come on the same flow: the running
-    # one is answered, the next ones run at the other endpoint, nobody sees a cut.
+    # An agent drains while an order runs and another one arrives. The running order
+    # must be answered, the new one must run at the other endpoint, and no flow may
+    # break.
     async with (
         fake_server(ports[0], seconds=0.2) as first,
         fake_server(ports[1]) as second,
@@ -168,10 +169,10 @@
 
 
 async def test_failing_endpoint_is_left_alone_and_tried_again(ports):
-    # One server of three answers 500 to all while its health endpoint says nothing of
-    # it. After two failures its agent sends requests elsewhere; when the time is over
-    # one request probes the server, and its good answer brings the endpoint back. All
-    # take the same time: of servers that take none, one would count as slow by chance.
+    # One server of three answers 500 to every request. After two failures it is ejected
+    # and the requests run elsewhere. When the ejection time is over, one request probes
+    # it, and a good answer readmits it. All servers have the same service time: if it
+    # were zero, one of them could be ejected as slow by chance.
     ejection = EjectionPolicy(failures=2, seconds=0.3)
     profile = replace(WARM, ejection=ejection)
 
@@ -209,7 +210,7 @@
         other = Caller(gateway, "10.0.0.2")
         assert (await other.ask("GET", "/b"))[0] == 200
         assert sum(ask.done() and ask.result()[0] == 200 for ask in asks) <= 3
-        # One runs and eight wait; the ninth that waits goes when the other comes.
+        # One runs and eight wait. The last waiting one is shed for the other caller's.
         statuses = [status for status, _, _ in await asyncio.gather(*asks)]
         assert (statuses.count(200), statuses.count(503)) == (8, 4)
         for caller in (*flood, other):
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -1,4 +1,4 @@
-"""Orders with an idempotency key run at most once, whatever fails."""
+"""Requests with an idempotency key run at most once, also when agents fail."""
 
 import asyncio
 
@@ -68,9 +68,9 @@
 
 
 async def test_claimant_killed_while_the_order_runs(ports):
-    # hub-1 claims the key and dies while the server runs the order. The caller asks
-    # again at hub-2: two of three agents know the claim and that its holder is gone,
-    # so the order is not run a second time and the outcome is told as unknown.
+    # hub-1 claims the key and dies while the server runs the order. The caller repeats
+    # the order at hub-2. Two of three agents know the claim and that its holder has
+    # died, so the order must not run again, and its outcome is unknown.
     async with (
         fake_server(ports[0], seconds=0.3) as server,
         fake_server(ports[1]) as second,
@@ -101,8 +101,8 @@
 
 
 async def test_restarted_agents_learn_the_claims_before_they_vote(ports):
-    # All three agents are replaced one after another. Each new one has empty memory;
-    # did it vote at once, the last could be outvoted by two that know nothing.
+    # All three agents restart one after another and lose their records. If they voted
+    # at once, two without records could grant a claim that was granted before.
     async with fake_server(ports[0]) as server, running_group([ports[0]] * 3) as group:
         await group.ready()
         await ask(group, "hub-1")
@@ -115,8 +115,8 @@
 
 
 async def test_majority_that_restarts_at_once_fails_closed(ports):
-    # Two of three agents lose their memory together, and with them perhaps a claim
-    # that only they had. Until its window is over no keyed order is run.
+    # Two of three agents restart together and may lose a claim that only they had
+    # recorded. Until the window is over, no keyed order may run.
     async with fake_server(ports[0]) as server, running_group([ports[0]] * 3) as group:
         await group.ready()
         await ask(group, "hub-1")
@@ -134,8 +134,8 @@
 
 
 async def test_cut_off_minority_runs_no_keyed_order(ports):
-    # hub-3 is cut off from the others but not from callers and its server. It can't
-    # know what the others have run, so it must not run a keyed order alone.
+    # hub-3 is cut off from the other agents, but not from callers and its server. It
+    # can't know what the others have run, so it must not run a keyed order.
     async with fake_server(ports[0]) as server, running_group([ports[0]] * 3) as group:
         await group.ready()
         group.cut.add("hub-3")
@@ -146,7 +146,7 @@
             body=b"x", Idempotency_Key="k-1", X_Request_Deadline=8000
         )
         assert (status, headers["cornelspan-outcome"]) == (502, "unknown")
-        # What is given up is answered at once, with the time to come back.
+        # The failure must be reported well before the deadline, with Retry-After.
         assert asyncio.get_running_loop().time() - started < 0.5 * 8
         assert int(headers["retry-after"]) >= 1
         await caller.close()
@@ -154,9 +154,9 @@
 
 
 async def test_caller_gone_lets_a_keyed_order_finish(ports):
-    # A phone loses its connection while its order is cooked. Cancelled, the order
-    # would be half done and its repetition unknown; so it runs on, and the phone's
-    # repetition gets the answer.
+    # A caller loses its connection while its order runs. If the order were cancelled,
+    # it could be half done and the repeated order would get "unknown". So it must run
+    # to its end, and the repeated order gets the answer.
     async with (
         fake_server(ports[0], seconds=0.2) as server,
         running_group([ports[0]] * 3) as group,
--- a/tests/test_keyed_path.py
+++ b/tests/test_keyed_path.py
@@ -1,4 +1,4 @@
-"""Keyed orders over the whole path: callers repeat, agents die, answers get lost."""
+"""Keyed orders over the whole path, with repeated orders and failing agents."""
 
 import asyncio
 import dataclasses
@@ -14,7 +14,7 @@
 
 
 async def order(address, number, outcomes):
-    """Send one order until its answer is known, each time on a new flow."""
+    """Repeat one order, each time on a new flow, until its outcome is "ran"."""
     request_id = f"order-{number}"
     body = msgspec.json.encode({"request_id": request_id})
     client = AsyncHTTPClient(force_instance=True, max_clients=1)
@@ -37,9 +37,9 @@
 
 
 async def test_repeated_orders_run_once_while_agents_die(base_port):
-    # Servers lose a fifth of their answers and two agents are killed, one of which
-    # comes back with an empty memory. Callers repeat what they have no answer to, over
-    # whichever balancer and agent it reaches. The kitchen must see no order twice.
+    # Servers lose a fifth of their answers. Two agents are killed, and one of them
+    # restarts without its records. Callers repeat unanswered orders, which may reach
+    # another balancer and agent. No order may run twice.
     plan = dataclasses.replace(
         SHIRAKABA,
         base_port=base_port,
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""An agent that leaves: what it waits for."""
+"""Draining of an agent that shuts down."""
 
 import asyncio
 
@@ -29,8 +29,8 @@
 async def test_leaving_waits_for_flows_only_while_a_fabric_is_there(
     base_port, monkeypatch, fabric_there
 ):
-    # A whole site stops, and the fabric goes first. The flows that it carried can't
-    # end any more; while it is there, their agent waits for them.
+    # When a whole site stops, the fabric may stop first, and its flows can't finish any
+    # more. The agent must wait for its flows only while a fabric is connected.
     monkeypatch.setattr(daemon, "FABRIC_GONE_SECONDS", 0.1)
     settings = settings_at(base_port + 310)
     async with agent(settings, Configuration(), Members()) as state:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The pieces as separate processes, from settings files to an orderly stop."""
+"""The daemons and stand-ins as separate processes, from start to graceful shutdown."""
 
 import asyncio
 import http.client
@@ -45,7 +45,7 @@
 
 @contextmanager
 def processes(directory):
-    """Yield the processes by name and a way to start one; none outlives the test."""
+    """Yield the processes by name and a function that starts one; kill all at exit."""
     running = {}
 
     def start(name, command):
@@ -65,7 +65,7 @@
 
 
 def answer(url, *, running):
-    """Return the first good answer; a process that ended or no answer is a failure."""
+    """Return the first good answer; fail if a process ends or none comes in time."""
     ends = time.monotonic() + START_SECONDS
     while time.monotonic() < ends:
         codes = {name: each.poll() for name, each in running.items()}
@@ -79,11 +79,11 @@
     raise AssertionError(f"{url}: {last}")
 
 
-# The caller sees an HTTP answer from a server that it can't know of. The store starts
-# alone and takes the first configuration; server, fabric, balancer and agent start at
-# once, in no order that would help them, and find each other by their settings. SIGTERM
-# then stops each, the agent first, so that its flow can end through the fabric; a drain
-# that runs into its limit of 30 s, or an exit code other than 0, is not orderly.
+# The store starts first and takes the configuration. Server, fabric, balancer and agent
+# then start together and must find each other by their settings, so that a caller gets
+# an answer. SIGTERM stops them one by one, the agent first, so that its flow can finish
+# through the fabric. A drain that takes until its limit of 30 s, or an exit code other
+# than 0, is a failure.
 def test_separate_processes_answer_and_stop_in_order(plan, tmp_path):
     with processes(tmp_path) as (running, start):
         start("store", (*STANDINS, "store", "store.json"))
