--- a/packages/cornelspan-requests/src/cornelspan_requests/admission.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/admission.py
@@ -149,6 +149,7 @@
         return [self._shed(ticket, Reason.DEADLINE) for ticket in late]
 
     def _assign_position(self, ticket: Ticket) -> None:
+        """Set the position of a ticket in the queue, and when it must start."""
         outstanding = (
             self.queue.callers[ticket.caller] + self.running_callers[ticket.caller]
         )
@@ -169,6 +170,7 @@
     def _check_rejection(
         self, ticket: Ticket, policy: RequestPolicy, now: float
     ) -> Failure | None:
+        """Return why a ticket is rejected, None if it may run or wait."""
         ahead = self.queue.ahead_of(ticket.position)
         if now + self.expected_wait(ahead) > ticket.latest_start:
             self.counts.deadline += 1
@@ -198,10 +200,12 @@
         return waiting >= max_waiting and len(self.queue) > waiting
 
     def _shed_overflow(self, policy: RequestPolicy) -> list[ShedTicket]:
+        """Drop the tickets beyond the largest length of the queue."""
         surplus = self.queue.tickets[policy.queue :]
         return [self._shed(ticket, Reason.QUEUE_FULL) for ticket in surplus]
 
     def _shed(self, ticket: Ticket, reason: Reason) -> ShedTicket:
+        """Drop a waiting ticket and count it."""
         self.queue.remove(ticket)
         if reason is Reason.DEADLINE:
             self.counts.deadline += 1
--- a/packages/cornelspan-requests/src/cornelspan_requests/backend.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/backend.py
@@ -147,6 +147,7 @@
 async def _exchange(
     stream: IOStream, request: Request, sink: AnswerSink, answer_bytes: int
 ) -> Result[int, Failure]:
+    """Send a request over a new connection and read its answer."""
     parameters = HTTP1ConnectionParameters(
         no_keep_alive=True, max_body_size=answer_bytes
     )
@@ -194,4 +195,5 @@
 
 
 def _parse_seconds(text: str) -> float:
+    """Return the seconds of a ``Retry-After`` header, zero if none."""
     return float(text) if text.isdigit() else 0.0
--- a/packages/cornelspan-requests/src/cornelspan_requests/claims.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/claims.py
@@ -68,7 +68,7 @@
 
 @dataclass
 class VoteRound:
-    """One vote on a claim, with the answers so far.
+    """A round of votes on one claim, with the votes so far.
 
     ``recorded`` are the agents that recorded the claim, with their incarnations.
     ``known`` are records of other claims on the key, by the agent that has them.
@@ -104,7 +104,7 @@
         return any(self._is_conclusive(record) for record in self.known.values())
 
     def _is_conclusive(self, record: KeyRecord) -> bool:
-        """Whether one voter's record decides the vote by itself.
+        """Whether the record of one voter decides the round by itself.
 
         A record of a claim whose request still runs does so once its holder has
         answered, and a record of a finished run if it has the answer, or if the outcome
@@ -117,7 +117,7 @@
 
 @dataclass
 class Claims:
-    """The claims of one agent, its votes on the claims of others, and its joining.
+    """The claims of one agent, its votes on other claims, and how it starts to vote.
 
     ``window`` returns how long the record of a finished run is kept, and
     ``voter_window`` how long a lost agent stays a voter: as long as a claim can last.
@@ -190,9 +190,11 @@
             int.from_bytes(claim.key[:8], "little"),
             [(name, name_seed(name), 1.0) for name in others],
         )
-        without = finished_record(claim, state, self.window(), None)
-        for at, name in enumerate(ranked):
-            self.send(name, KeyDone(record if at < ANSWER_COPIES else without))
+        without_answer = finished_record(claim, state, self.window(), None)
+        for index, name in enumerate(ranked):
+            self.send(
+                name, KeyDone(record if index < ANSWER_COPIES else without_answer)
+            )
 
     def receive(self, sender: str, message: Message) -> None:
         """Process a message of another agent."""
@@ -260,9 +262,9 @@
     def _vote_locally(self, vote_round: VoteRound) -> bool:
         """Record the agent's own claim, and count its own vote if it may vote.
 
-        The claim is recorded even if this agent may not vote: when another agent claims
-        the same key and this one votes for it, that tells the other that this agent
-        holds no claim of its own.
+        The claim is recorded even if this agent may not vote. Otherwise it could record
+        another agent's claim on the same key, and the other agent would conclude that
+        this one holds no claim of its own.
 
         Returns:
             False if there is no room for the record.
@@ -278,6 +280,7 @@
         return True
 
     async def _wait_for_votes(self, vote_round: VoteRound, deadline: float) -> None:
+        """Wait until a round is decided, or until its time is over."""
         seconds = min(VOTE_TIMEOUT_SECONDS, max(0.0, deadline - self.clock()))
         try:
             async with asyncio.timeout(seconds):
@@ -288,7 +291,7 @@
             return
 
     def _decide(self, vote_round: VoteRound) -> ClaimResult:
-        """Return the result of a vote; release a claim that was not granted."""
+        """Return the result of a round; release a claim that was not granted."""
         if vote_round.granted and not vote_round.known:
             return Granted(vote_round.claim)
         self.release(vote_round.claim)
@@ -313,12 +316,14 @@
         return vote_round.recorded.get(holder) == record.token.incarnation
 
     def _holder_gone(self, record: KeyRecord) -> bool:
+        """Whether the holder of a record has died, left or restarted."""
         voter = self.voters.by_name.get(record.token.holder)
         if voter is None or voter.lost_at is not None:
             return True
         return voter.incarnation != record.token.incarnation
 
     def _answer_claim(self, sender: str, claim: KeyClaim, now: float) -> None:
+        """Vote on the claim of another agent."""
         vote, known = Vote.NOT_READY, None
         if self.voters.update_ready(now, self.voter_window()) and not self.leaving:
             vote, known = self.key_store.record_claim(claim.record, now)
@@ -329,6 +334,7 @@
         self.send(sender, KeyVote(claim.question, vote, known, names, incarnation))
 
     def _receive_vote(self, sender: str, message: KeyVote) -> None:
+        """Count a vote, and add voters that only its sender knows."""
         vote_round = self.rounds.get(message.question)
         if vote_round is None:
             return
@@ -348,6 +354,7 @@
         vote: Vote,
         known: KeyRecord | None,
     ) -> None:
+        """Add the vote of one agent to a round."""
         if known is not None and known.token != vote_round.claim.token:
             vote_round.known[name] = known
         elif vote is Vote.RECORDED:
@@ -356,6 +363,7 @@
             vote_round.not_ready.add(name)
 
     def _answer_sync(self, sender: str, sync: KeySync, now: float) -> None:
+        """Send all records to an agent that has started."""
         # From here on the new agent counts as a voter. So a claim that is granted after
         # this answer needs a majority that includes the new agent, or one of the agents
         # whose records it has received.
@@ -363,6 +371,7 @@
         self._send_records(sender, sync.question, now)
 
     def _send_records(self, name: str, question: int, now: float) -> None:
+        """Send all records to an agent, in several messages if needed."""
         records = self.key_store.all_records(now)
         names = tuple(sorted(self.voters.names()))
         ready = self.voters.update_ready(now, self.voter_window())
@@ -374,6 +383,7 @@
             self.send(name, message)
 
     def _receive_records(self, sender: str, records: KeyRecords, now: float) -> None:
+        """Merge records, and note when an agent has sent all of its own."""
         self.key_store.merge(records.records, now)
         if records.question != self.sync_number or not self.sync_number:
             return
@@ -396,4 +406,5 @@
 
 
 def _completeness(record: KeyRecord) -> tuple[bool, bool]:
+    """Return a sort key: finished records last, those with an answer at the end."""
     return record.state != KeyState.CLAIMED, record.answer is not None
--- a/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
@@ -249,6 +249,7 @@
     async def _run(
         self, destination: str, request: Request, sink: TrackedSink, profile: Profile
     ) -> Result[int, Failure]:
+        """Run a request at this endpoint, or hand it off to an agent."""
         if destination == LOCAL:
             self.counts.local += 1
             return await self.endpoint.run(request, sink, profile)
--- a/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
@@ -113,6 +113,7 @@
     async def _admit(
         self, request: Request, sink: AnswerSink, profile: Profile
     ) -> Result[int, Failure]:
+        """Wait for a slot if needed, and run a request in it."""
         now = self.loop.time()
         self._apply_slow_start(profile, now)
         ticket = Ticket(
@@ -176,6 +177,7 @@
     async def _run_in_slot(
         self, ticket: Ticket, request: Request, sink: AnswerSink, profile: Profile
     ) -> Result[int, Failure]:
+        """Run a request, use its result, and free its slot."""
         record_time = False
         try:
             result = await self.call_server(request, sink)
@@ -185,6 +187,7 @@
             self._free_slot(ticket, record_time=record_time)
 
     def _free_slot(self, ticket: Ticket, *, record_time: bool) -> None:
+        """Free the slot of a ticket, and give it to the next ones."""
         now = self.loop.time()
         started = self.admission.finish(ticket, now=now, record_time=record_time)
         for next_ticket in started:
@@ -197,6 +200,7 @@
             self._resolve(dropped.ticket, dropped.rejection)
 
     def _resolve(self, ticket: Ticket, failure: Failure | None) -> None:
+        """Tell a waiting ticket that it has a slot, or why it has none."""
         waiter = self.waiters.get(ticket)
         if waiter is not None and not waiter.done():
             waiter.set_result(failure)
@@ -225,6 +229,7 @@
         return True
 
     def _record_success(self, profile: Profile, now: float) -> None:
+        """Readmit the endpoint after a probe; eject it if it is too slow."""
         if self.ejection_state.succeed(now):
             self.slow_start.restart(now)
             # Service times from before the ejection would eject it again at once.
@@ -246,11 +251,13 @@
             log.warning("endpoint ejected", extra={"why": "slow", "seconds": own})
 
     def _record_failure(self, profile: Profile, now: float) -> None:
+        """Count a failure; eject the endpoint after too many in a row."""
         room = self._may_eject(profile, list(self.peer_loads()))
         if self.ejection_state.fail(profile.ejection, now, room=room):
             log.warning("endpoint ejected", extra={"why": "failures"})
 
     def _may_eject(self, profile: Profile, loads: list[Load]) -> bool:
+        """Whether one more endpoint of the service may be ejected."""
         unavailable = sum(1 for load in loads if load.slots == 0)
         return has_room(unavailable, len(loads) + 1, profile.ejection)
 
@@ -269,6 +276,7 @@
 
 
 def _has_slot(waiter: asyncio.Future) -> bool:
+    """Whether a waiting ticket has got a slot."""
     return waiter.done() and not waiter.cancelled() and waiter.result() is None
 
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
@@ -127,6 +127,7 @@
 
 
 async def _was_sent(sending: Awaitable[None]) -> bool:
+    """Wait until data is sent; False if the connection is closed."""
     try:
         await sending
     except StreamClosedError:
@@ -237,18 +238,19 @@
 async def _answer_request(
     answer: Answer, incoming: IncomingRequest, respond: Respond
 ) -> None:
+    """Answer a request; cancel it if the caller disconnects."""
     connection = answer.connection
-    work = asyncio.ensure_future(respond(incoming, answer))
-    connection.set_close_callback(work.cancel)
+    task = asyncio.ensure_future(respond(incoming, answer))
+    connection.set_close_callback(task.cancel)
     if connection.stream.closed():
         # It closed before the callback was set, so the callback is never called.
-        work.cancel()
+        task.cancel()
     try:
-        await work
+        await task
     except asyncio.CancelledError:
         answer.abort("cancelled")
         if not connection.stream.closed() or asyncio.current_task().cancelling():
-            work.cancel()
+            task.cancel()
             raise
     except Exception as error:
         answer.abort(repr(error))
--- a/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
@@ -269,6 +269,7 @@
         *,
         over_limit: bool,
     ) -> Result[int, Failure]:
+        """Serve a request, or return why it is not served."""
         if incoming.too_large:
             return Err(Failure(RequestOutcome.NOT_RUN, Reason.TOO_LARGE))
         if over_limit:
@@ -335,6 +336,7 @@
 
 
 def _parse_number(text: str) -> int | None:
+    """Return a non-negative header value, None if it is not a number."""
     return int(text) if text.isdecimal() and len(text) < 10 else None
 
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
@@ -192,6 +192,7 @@
                 self._cancel(sender, number)
 
     async def _send_request(self, name: str, number: int, request: Request) -> bool:
+        """Send a request in parts; False if the stream is lost."""
         remaining = request.deadline - asyncio.get_running_loop().time()
         start = RequestStart(
             number,
@@ -218,6 +219,7 @@
     async def _pass_answer(
         self, outgoing: SentRequest, number: int, sink: AnswerSink
     ) -> Result[int, Failure]:
+        """Pass the parts of an answer on to a sink as they arrive."""
         status = passed = 0
         while True:
             wanted = True
@@ -244,6 +246,7 @@
                 return Err(Failure(RequestOutcome.UNKNOWN, Reason.CANCELLED))
 
     def _receive_part(self, sender: str, part: RequestPart) -> None:
+        """Add a part of a request's body; run the request once it is complete."""
         incoming = self.incoming.get((sender, part.number))
         if incoming is None or incoming.task is not None:
             return
@@ -260,6 +263,7 @@
             self._fail(incoming, Failure(RequestOutcome.NOT_RUN, Reason.BROKEN))
 
     async def _run(self, incoming: ReceivedRequest) -> None:
+        """Run a request of another agent, and send its answer back."""
         try:
             result = await self.run(_request_from(incoming), _PeerSink(incoming))
             match result:
@@ -271,6 +275,7 @@
             self.incoming.pop((incoming.sender, incoming.start.number), None)
 
     def _fail(self, incoming: ReceivedRequest, failure: Failure) -> None:
+        """Report to the sender that its request got no answer."""
         message = AnswerFailed(
             incoming.start.number,
             failure.outcome.value,
@@ -280,6 +285,7 @@
         self.send_message(incoming.sender, message)
 
     def _cancel(self, sender: str, number: int) -> None:
+        """Cancel a request of another agent."""
         incoming = self.incoming.pop((sender, number), None)
         if incoming is not None and incoming.task is not None:
             incoming.task.cancel()
--- a/packages/cornelspan-requests/src/cornelspan_requests/voters.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/voters.py
@@ -142,7 +142,8 @@
     def update_ready(self, now: float, window: float) -> bool:
         """Update and return whether this agent may vote.
 
-        It may vote once one of these holds:
+        It may not in the first ``MIN_JOIN_SECONDS``, when it may not know all voters.
+        After that, it may vote once one of these holds:
 
         - It has the records of a read quorum of agents that may vote, so that it knows
           every claim that was granted before.
@@ -170,6 +171,7 @@
         return self.ready
 
     def _mark_missing(self, name: str, now: float, window: float) -> None:
+        """Note that an agent is missing; remove it once it was for the window."""
         voter = self.by_name[name]
         if voter.lost_at is None:
             voter.lost_at = now
