--- a/packages/cornelspan-requests/src/cornelspan_requests/outcomes.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/outcomes.py
@@ -1,14 +1,14 @@
-"""What a caller is told about its request, and by which status and header.
+"""Outcomes of requests, and the statuses and headers that report them to callers.
 
-Each answer that the agent makes itself carries ``Cornelspan-Outcome``:
+Every answer that the agent creates itself carries ``Cornelspan-Outcome``:
 
-- ``not-run``: no backend server has begun this request, and none will.
+- ``not-run``: no backend server has started this request, and none will.
 - ``unknown``: a backend server may have run it, or may still be running it.
 - ``ran``: it has run; the answer is the server's, or is no longer kept.
 
-An answer passed on from a backend server carries ``ran``. A backend server that turns
-a request away unrun says so with status 503 and ``X-Request-Not-Run: 1``; the agent's
-own answers carry that header too when their outcome is ``not-run``.
+An answer forwarded from a backend server carries ``ran``. A backend server that rejects
+a request without running it answers with status 503 and ``X-Request-Not-Run: 1``. The
+agent's own answers carry that header too if their outcome is ``not-run``.
 """
 
 import math
@@ -26,8 +26,8 @@
 PRIORITY_HEADER = "X-Request-Priority"
 
 
-class Outcome(StrEnum):
-    """How far a request can have come."""
+class RequestOutcome(StrEnum):
+    """Whether a request has run at a backend server."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
@@ -35,7 +35,7 @@
 
 
 class Reason(StrEnum):
-    """Why the agent answers a request itself."""
+    """Why the agent answers a request itself instead of a backend server."""
 
     QUEUE_FULL = "queue-full"
     CALLER_SHARE = "caller-share"
@@ -56,25 +56,24 @@
     CANCELLED = "cancelled"
 
 
-CALLERS_OWN = frozenset({Reason.CANCELLED, Reason.TOO_LARGE, Reason.KEY_REUSED})
-"""Reasons that lie with the caller: no backend server could have done better, so they
-say nothing of the service's objective."""
+CALLER_FAULTS = frozenset({Reason.CANCELLED, Reason.TOO_LARGE, Reason.KEY_REUSED})
+"""Reasons caused by the caller, which don't count against the service's objective."""
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
-    """A request that got no answer from a backend server.
+class Failure:
+    """Why a request got no answer from a backend server, and whether it ran.
 
-    ``retry_after`` is in seconds, zero where asking again is of no use.
+    ``retry_after`` is in seconds; zero sends no ``Retry-After`` header.
     """
 
-    outcome: Outcome
+    outcome: RequestOutcome
     reason: Reason
     retry_after: float = 0.0
 
     @property
     def status(self) -> int:
-        """The HTTP status that goes with the reason and the outcome."""
+        """The HTTP status of the answer."""
         return status_of(self.reason, self.outcome)
 
 
@@ -88,16 +87,16 @@
 }
 
 
-def status_of(reason: Reason, outcome: Outcome) -> int:
-    """Return the status for an answer of the agent's own.
+def status_of(reason: Reason, outcome: RequestOutcome) -> int:
+    """Return the status of an answer that the agent creates itself.
 
-    A request that surely did not run gets 503, so that generic clients may repeat it;
-    one whose outcome is unknown gets 504 after its deadline and 502 otherwise, which
-    they don't repeat unless the method is idempotent.
+    A request that certainly did not run gets 503, so that generic clients may repeat
+    it. One whose outcome is unknown gets 504 after its deadline and 502 otherwise,
+    which clients repeat only if the method is idempotent.
     """
     if reason in FIXED_STATUS:
         return FIXED_STATUS[reason]
-    if outcome is Outcome.NOT_RUN:
+    if outcome is RequestOutcome.NOT_RUN:
         return 503
     return 504 if reason is Reason.DEADLINE else 502
 
@@ -111,22 +110,22 @@
     headers: tuple[tuple[str, str], ...]
 
 
-def refusal_head(refusal: Refusal, *, length: int) -> AnswerHead:
-    """Return the head of the agent's own answer for a refusal.
+def failure_head(failure: Failure, *, length: int) -> AnswerHead:
+    """Return the head of the agent's own answer to a failed request.
 
     Args:
-        refusal: What happened.
+        failure: Reason and outcome.
         length: Size of the body that follows, in bytes.
     """
     headers = [
-        (OUTCOME_HEADER, refusal.outcome.value),
-        (REASON_HEADER, refusal.reason.value),
+        (OUTCOME_HEADER, failure.outcome.value),
+        (REASON_HEADER, failure.reason.value),
         ("Content-Type", "text/plain; charset=utf-8"),
         ("Content-Length", str(length)),
     ]
-    if refusal.outcome is Outcome.NOT_RUN:
+    if failure.outcome is RequestOutcome.NOT_RUN:
         headers.append((NOT_RUN_HEADER, "1"))
-    if refusal.retry_after > 0:
-        headers.append(("Retry-After", str(math.ceil(refusal.retry_after))))
-    status = refusal.status
+    if failure.retry_after > 0:
+        headers.append(("Retry-After", str(math.ceil(failure.retry_after))))
+    status = failure.status
     return AnswerHead(status, responses.get(status, "Unknown"), tuple(headers))
