--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
@@ -7,7 +7,7 @@
 
 from cornelspan_passthrough.balancer import Balancer
 from cornelspan_passthrough.datagrams import datagram_socket
-from cornelspan_passthrough.heads import PacketCodec
+from cornelspan_passthrough.packet_headers import PacketCodec
 from cornelspan_passthrough.settings import PassthroughBalancerSettings, socket_address
 
 
@@ -26,8 +26,8 @@
         datagram_socket(internal) as daemons,
     ):
         balancer = Balancer(settings, codec, clients, daemons, random.Random())
-        clients.received = lambda data, sender: balancer.from_client(data, now())
-        daemons.received = lambda data, sender: balancer.from_daemon(
+        clients.on_datagram = lambda data, sender: balancer.from_client(data, now())
+        daemons.on_datagram = lambda data, sender: balancer.from_daemon(
             data, sender[0], now()
         )
         yield balancer
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
@@ -1,30 +1,32 @@
-"""What an agent knows of its endpoint from the endpoint's own reports."""
+"""The state of an agent's endpoint, as derived from the endpoint's reports."""
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
 from cornelspan_passthrough.pulses import DOWN, DRAINING, READY
 
-# A report may be late by part of its interval; after 1.8 of them one is surely missing.
-MISSING_REPORTS = 1.8
-# An ended life that reports again is taken back if it goes on reporting while the one
-# in its place does not. Reports that were held up on the way may be several.
-RETURNING_REPORTS = 2
-# After this part of an interval without a first report an agent that has just started
-# looks whether there is an endpoint at all. Beside one that is gone it would wait for
-# ever to be told whether a flow lives there.
-FIRST_REPORT = 0.3
-# Two connections that hang, a report's interval apart, and no report meanwhile.
+# A report may be late by part of its interval. After 1.8 intervals one has been lost or
+# was never sent.
+MISSING_REPORT_INTERVALS = 1.8
+# An ended incarnation is accepted again after this many reports, provided that its
+# successor has stopped reporting. The count alone does not prove that it is running,
+# because the network may have delayed several of its reports.
+RESUME_REPORTS = 2
+# An agent that has just started probes the endpoint if no report arrives within this
+# part of an interval. Without the probe, an agent whose endpoint is gone would never
+# learn that the endpoint holds no flows.
+FIRST_REPORT_INTERVALS = 0.3
+# Consecutive connection attempts without an answer, one report interval apart.
 SILENT_PROBES = 2
-KEPT_LIVES = 64
+MAX_ENDED_INCARNATIONS = 64
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
+class Incarnation:
     """One run of an endpoint's process, from a start to the next.
 
     ``name`` may be the same after a restart. ``started_milliseconds`` is the Unix time
-    of the start by the endpoint's own clock, None if it doesn't say.
+    of the start by the endpoint's own clock, None if the endpoint does not report it.
     """
 
     name: str
@@ -35,8 +37,8 @@
             return self.name
         return f"{self.name}@{self.started_milliseconds}"
 
-    def is_before(self, other: "Life") -> bool:
-        """Whether this life surely began before another."""
+    def is_before(self, other: "Incarnation") -> bool:
+        """Whether this incarnation is known to have started before another."""
         own, others = self.started_milliseconds, other.started_milliseconds
         return own is not None and others is not None and own < others
 
@@ -45,12 +47,12 @@
 class Report:
     """One report of an endpoint.
 
-    ``sequence`` grows with each report of one life. ``capacity`` counts requests that
-    it works on at once, and ``cold_milliseconds`` tells how much longer it is slow
-    after its start.
+    ``sequence`` grows with each report of an incarnation. ``capacity`` is the number of
+    requests that the endpoint runs concurrently. ``cold_milliseconds`` is how much
+    longer it is slow after its start.
     """
 
-    life: Life
+    incarnation: Incarnation
     service: str
     sequence: int
     capacity: int
@@ -58,188 +60,202 @@
     cold_milliseconds: int
 
 
-class Hearing(Enum):
-    """What a report was taken for.
+class ReportOutcome(Enum):
+    """How a report was classified.
 
-    ``TAKEN`` is one of the present life, also a repeat. ``BEGINS`` is the first of a
-    new life after another one. ``DOUBTED`` seems to come from a life that has ended,
-    ``FOREIGN`` from an endpoint of another service.
+    ``ACCEPTED`` reports, repeats included, come from the current incarnation.
+    ``NEW_INCARNATION`` is the first report of an incarnation that replaces another.
+    ``STALE`` reports seem to come from an incarnation that has ended, ``WRONG_SERVICE``
+    reports come from an endpoint of another service.
     """
 
-    TAKEN = auto()
-    BEGINS = auto()
-    DOUBTED = auto()
-    FOREIGN = auto()
+    ACCEPTED = auto()
+    NEW_INCARNATION = auto()
+    STALE = auto()
+    WRONG_SERVICE = auto()
 
 
 @dataclass
 class Endpoint:
-    """The endpoint's state; times are of the loop's clock, in seconds.
-
-    Until its first report the endpoint is taken for ready: it may have lived on while
-    its agent was restarted. ``watched_since`` is when that agent started.
-    ``has_started_fresh`` says that this life began under the eyes of the agent, or was
-    in its cold start when it first reported here, a second or two old. ``life`` is None
-    before the first report and after the end of a life, ``newest`` the one that began
-    last. ``ended`` counts the reports that came from each life after its end.
-    ``is_foreign`` says that an endpoint of another service reports here, and
-    ``is_doubted`` that somebody said that this one goes.
+    """The endpoint's state; times are of the event loop's clock, in seconds.
+
+    The endpoint counts as ready until its first report, because it may have kept
+    running while its agent restarted. ``agent_started_at`` is when the agent started.
+
+    ``has_no_earlier_flows`` is set if the endpoint can't hold flows that were opened
+    before the agent started: the incarnation started while the agent was running, or
+    was still in its cold start, a second or two old, at its first report.
+
+    ``incarnation`` is None before the first report and after an incarnation has ended.
+    ``newest_incarnation`` is the one that started last. ``ended`` maps each ended
+    incarnation to the number of reports received from it since.
+
+    ``has_wrong_service`` is set while an endpoint of another service reports at this
+    address. ``is_leave_unconfirmed`` is set by a leave call that may be of an earlier
+    incarnation.
     """
 
     service: str
     report_seconds: float
-    watched_since: float = 0.0
+    agent_started_at: float = 0.0
     unanswered_probes: int = 0
-    has_started_fresh: bool = False
-    life: Life | None = None
-    newest: Life | None = None
+    has_no_earlier_flows: bool = False
+    incarnation: Incarnation | None = None
+    newest_incarnation: Incarnation | None = None
     sequence: int = -1
     state: int = READY
-    is_foreign: bool = False
-    is_doubted: bool = False
+    has_wrong_service: bool = False
+    is_leave_unconfirmed: bool = False
     capacity: int = 1
     reported_at: float | None = None
-    ended: dict[Life, int] = field(default_factory=dict)
+    ended: dict[Incarnation, int] = field(default_factory=dict)
 
     @property
     def announced_state(self) -> int:
-        """The state for new flows, as balancers are told it.
+        """The state for new flows that balancers are told.
 
-        Another service's endpoint at this address may have taken it over, so no new
-        flow goes there. It may also be a stray report beside a sound endpoint, so its
-        flows are left alone; the next report of the sound one ends the doubt.
+        An endpoint of another service may have taken over this address, so no new flow
+        is sent there. The report may also have come from elsewhere while the endpoint
+        is healthy, so open flows are kept. The next report of the right service ends
+        this state.
         """
-        if self.is_foreign and self.state == READY:
+        if self.has_wrong_service and self.state == READY:
             return DRAINING
         return self.state
 
-    def report(self, report: Report, now: float) -> Hearing:
-        """Take in a report.
+    def receive_report(self, report: Report, now: float) -> ReportOutcome:
+        """Process a report.
 
-        A report that was held up on the way may come from a life that has ended, after
-        its successor's first. It must not bring the old life back, or open flows of
-        the new one would be given up. When a life began decides, not when its report
-        arrives: an agent that was restarted between the two has not seen the old life
-        end.
+        A delayed report of an ended incarnation may arrive after its successor's first
+        report. It must not replace the successor, or the successor's open flows would
+        be reset. Start times decide, not the order of arrival, because an agent that
+        restarted between the two reports has not seen the earlier incarnation end.
         """
-        seems_past = report.life != self.life and self._is_past(report.life)
-        if seems_past and not self._returns(report.life, now):
-            return Hearing.DOUBTED
+        seems_ended = report.incarnation != self.incarnation and self._has_ended(
+            report.incarnation
+        )
+        if seems_ended and not self._has_resumed(report.incarnation, now):
+            return ReportOutcome.STALE
         if report.service != self.service:
-            return self._hear_foreign(report)
-        if report.life == self.life:
-            self._go_on(report, now)
-            return Hearing.TAKEN
-        return self._begin(report, now)
-
-    def leave(self, life: Life) -> bool:
-        """Take in that a life is over; return whether it was the present one.
-
-        Word of the present name that doesn't say which of its lives it ends may be of
-        an earlier one, held up on the way. Believed, it would end the flows of a life
-        that goes on. So it only raises a doubt, and the endpoint's port tells.
+            return self._reject_wrong_service(report)
+        if report.incarnation == self.incarnation:
+            self._update(report, now)
+            return ReportOutcome.ACCEPTED
+        return self._start_incarnation(report, now)
+
+    def leave(self, incarnation: Incarnation) -> bool:
+        """Process a leave call; return whether it ended the current incarnation.
+
+        A call that has the current name but no start time may be a delayed call of an
+        earlier incarnation. Obeying it would reset the flows of a running endpoint. It
+        only marks the endpoint for a probe, and the probe's connection shows whether
+        the endpoint is gone.
         """
-        if self.life is None:
+        if self.incarnation is None:
             return False
-        if life == self.life:
-            self.down()
+        if incarnation == self.incarnation:
+            self.mark_down()
             return True
-        if life == Life(self.life.name):
-            self.is_doubted = True
+        if incarnation == Incarnation(self.incarnation.name):
+            self.is_leave_unconfirmed = True
         return False
 
-    def down(self) -> None:
-        """Note that nothing listens at the endpoint's address."""
-        self._end_life()
+    def mark_down(self) -> None:
+        """Record that nothing listens at the endpoint's address."""
+        self._end_incarnation()
         self.state = DOWN
 
     def is_overdue(self, now: float) -> bool:
-        """Whether a report is missing, or the endpoint is said to have gone."""
-        if self.is_doubted:
+        """Whether a report is missing or an unconfirmed leave call needs a probe."""
+        if self.is_leave_unconfirmed:
             return True
         if self.reported_at is None:
-            first = FIRST_REPORT * self.report_seconds
-            return now - self.watched_since > first
-        return now - self.reported_at > MISSING_REPORTS * self.report_seconds
+            first = FIRST_REPORT_INTERVALS * self.report_seconds
+            return now - self.agent_started_at > first
+        return now - self.reported_at > MISSING_REPORT_INTERVALS * self.report_seconds
 
     @property
     def is_silent(self) -> bool:
-        """Whether it neither reports nor takes connections."""
+        """Whether the endpoint neither reports nor accepts connections."""
         return self.unanswered_probes >= SILENT_PROBES
 
-    def _hear_foreign(self, report: Report) -> Hearing:
-        """Take in a report of another service; one life is of one service."""
-        if report.life == self.life:
-            return Hearing.DOUBTED
-        self.is_foreign = True
-        return Hearing.FOREIGN
+    def _reject_wrong_service(self, report: Report) -> ReportOutcome:
+        """Process a report of another service; an incarnation never changes service."""
+        if report.incarnation == self.incarnation:
+            return ReportOutcome.STALE
+        self.has_wrong_service = True
+        return ReportOutcome.WRONG_SERVICE
 
-    def _go_on(self, report: Report, now: float) -> None:
-        """Take in a report of the present life.
+    def _update(self, report: Report, now: float) -> None:
+        """Process a report of the current incarnation.
 
-        Leaving is for good within one life, so it counts also when later reports have
-        overtaken its word: acknowledged and not obeyed, the endpoint would get new
-        flows after its time to drain.
+        An incarnation that drains never becomes ready again, so ``draining`` counts
+        even in a report that arrives after later ones. Ignored though acknowledged, it
+        would leave the endpoint with new flows after its time to drain.
         """
         if report.draining:
             self.state = DRAINING
         if report.sequence > self.sequence:
-            self._take_figures(report, now)
-
-    def _begin(self, report: Report, now: float) -> Hearing:
-        known = self.life is not None
-        self._end_life()
-        self.has_started_fresh = known or report.cold_milliseconds > 0
-        self.life = report.life
-        self.newest = report.life
+            self._apply_report(report, now)
+
+    def _start_incarnation(self, report: Report, now: float) -> ReportOutcome:
+        had_incarnation = self.incarnation is not None
+        self._end_incarnation()
+        self.has_no_earlier_flows = had_incarnation or report.cold_milliseconds > 0
+        self.incarnation = report.incarnation
+        self.newest_incarnation = report.incarnation
         self.state = DRAINING if report.draining else READY
-        self._take_figures(report, now)
-        return Hearing.BEGINS if known else Hearing.TAKEN
+        self._apply_report(report, now)
+        return (
+            ReportOutcome.NEW_INCARNATION if had_incarnation else ReportOutcome.ACCEPTED
+        )
 
-    def _take_figures(self, report: Report, now: float) -> None:
+    def _apply_report(self, report: Report, now: float) -> None:
         self.sequence = report.sequence
         self.capacity = report.capacity
         self.reported_at = now
         self.unanswered_probes = 0
-        self.is_foreign = False
-        self.is_doubted = False
-
-    def _end_life(self) -> None:
-        if self.life is not None:
-            self.ended[self.life] = 0
-            self._bound_ended()
-        self.life = None
+        self.has_wrong_service = False
+        self.is_leave_unconfirmed = False
+
+    def _end_incarnation(self) -> None:
+        if self.incarnation is not None:
+            self.ended[self.incarnation] = 0
+            self._trim_ended()
+        self.incarnation = None
         self.sequence = -1
         self.state = READY
-        self.is_doubted = False
+        self.is_leave_unconfirmed = False
 
-    def _bound_ended(self) -> None:
-        while len(self.ended) > KEPT_LIVES:
+    def _trim_ended(self) -> None:
+        while len(self.ended) > MAX_ENDED_INCARNATIONS:
             del self.ended[next(iter(self.ended))]
 
-    def _is_past(self, life: Life) -> bool:
-        """Whether a life seems to have ended, as a later one has begun.
+    def _has_ended(self, incarnation: Incarnation) -> bool:
+        """Whether an incarnation seems to have ended, as a later one has started.
 
-        One that doesn't say when it began, under the name of one that does, can't be
-        told from it and is doubted as well.
+        An incarnation without a start time can't be told from one that has the same
+        name and a start time, and counts as ended too.
         """
-        if life in self.ended:
+        if incarnation in self.ended:
             return True
-        if self.newest is None:
+        if self.newest_incarnation is None:
             return False
-        return life.is_before(self.newest) or life == Life(self.newest.name)
+        return incarnation.is_before(
+            self.newest_incarnation
+        ) or incarnation == Incarnation(self.newest_incarnation.name)
 
-    def _returns(self, life: Life, now: float) -> bool:
-        """Whether a life that was taken to have ended is the present one after all.
+    def _has_resumed(self, incarnation: Incarnation, now: float) -> bool:
+        """Whether an incarnation that seemed to have ended is still running.
 
-        An endpoint whose clock was set back before its start seems to be older than the
-        one before it; that one reports no more.
+        If a VM's clock was set back before the endpoint's start, the new incarnation
+        seems older than its predecessor, which no longer reports.
         """
-        self.ended[life] = self.ended.get(life, 0) + 1
-        self._bound_ended()
-        if self.ended[life] < RETURNING_REPORTS:
+        self.ended[incarnation] = self.ended.get(incarnation, 0) + 1
+        self._trim_ended()
+        if self.ended[incarnation] < RESUME_REPORTS:
             return False
-        if self.life is not None and not self.is_overdue(now):
+        if self.incarnation is not None and not self.is_overdue(now):
             return False
-        del self.ended[life]
+        del self.ended[incarnation]
         return True
--- a/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
@@ -1,11 +1,11 @@
-"""Requests handed to another agent of the service, and taken from one.
+"""Handoff of requests between the agents of a service.
 
     match await handoffs.send("agent-3", request, answer):
         case Ok(status): ...
 
-The receiver runs a request once it has all of it, and never hands it on again. Answers
-go back in parts; at most ``WINDOW_BYTES`` are under way, so a slow caller holds back
-the backend server and not memory here.
+The receiver runs a request once it has received all of it, and never hands it off
+again. Answers are sent back in parts with at most ``WINDOW_BYTES`` unacknowledged. So a
+slow caller slows the backend server down, and agents don't buffer whole answers.
 """
 
 import asyncio
@@ -27,37 +27,46 @@
 from cornelspan_common.tasks import Tasks
 from cornelspan_requests.backend import AnswerSink
 from cornelspan_requests.exchange import Request
-from cornelspan_requests.outcomes import AnswerHead, Outcome, Reason, Refusal
+from cornelspan_requests.outcomes import AnswerHead, Failure, Reason, RequestOutcome
 
 PART_BYTES = 65536
 WINDOW_BYTES = 262144
-GRACE_SECONDS = 0.25
+ANSWER_GRACE_SECONDS = 0.25
 
 Send = Callable[[str, Message], bool]
-Run = Callable[[Request, AnswerSink], Awaitable[Result[int, Refusal]]]
-Back = AnswerStart | AnswerPart | AnswerFailed | None
+Run = Callable[[Request, AnswerSink], Awaitable[Result[int, Failure]]]
+AnswerMessage = AnswerStart | AnswerPart | AnswerFailed | None
 
 
 @dataclass
-class Outgoing:
-    """A request that another agent has; ``back`` brings its answer, None its loss."""
+class SentRequest:
+    """A request that was handed off to another agent.
+
+    ``answer_messages`` gets the messages of its answer, and None if the stream to the
+    agent is lost.
+    """
 
     name: str
-    back: asyncio.Queue[Back] = field(default_factory=asyncio.Queue)
+    answer_messages: asyncio.Queue[AnswerMessage] = field(default_factory=asyncio.Queue)
 
 
 @dataclass
-class Incoming:
-    """A request of another agent: first its body, then its run and the answer."""
+class ReceivedRequest:
+    """A request that another agent handed off to this one.
+
+    First its ``body`` is collected, then ``task`` runs it and sends the answer back.
+    ``sent`` is the offset of the next part of the answer. ``unacknowledged`` counts its
+    bytes that the sender has not yet passed on to the caller.
+    """
 
     start: RequestStart
     sender: str
     send: Send
     body: bytearray = field(default_factory=bytearray)
-    work: asyncio.Task | None = None
+    task: asyncio.Task | None = None
     sent: int = 0
-    under_way: int = 0
-    room: asyncio.Event = field(default_factory=asyncio.Event)
+    unacknowledged: int = 0
+    window_open: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def start_answer(self, head: AnswerHead) -> bool:
         """Send status and headers back."""
@@ -66,19 +75,19 @@
         return self.send(self.sender, message)
 
     async def write(self, chunk: bytes) -> bool:
-        """Send a part of the body back, and wait while too much is under way."""
+        """Send a part of the body back; wait while too much is unacknowledged."""
         for start in range(0, len(chunk), PART_BYTES):
             part = chunk[start : start + PART_BYTES]
-            while self.under_way >= WINDOW_BYTES:
-                self.room.clear()
-                await self.room.wait()
-            self.under_way += len(part)
+            while self.unacknowledged >= WINDOW_BYTES:
+                self.window_open.clear()
+                await self.window_open.wait()
+            self.unacknowledged += len(part)
             if not self._send_part(part, last=False):
                 return False
         return True
 
     def end_answer(self) -> None:
-        """Send word that the answer is whole."""
+        """Send the end of the answer."""
         self._send_part(b"", last=True)
 
     def _send_part(self, part: bytes, *, last: bool) -> bool:
@@ -86,17 +95,17 @@
         self.sent += len(part)
         return self.send(self.sender, message)
 
-    def taken(self, size: int) -> None:
-        """Note that the caller has taken more."""
-        self.under_way -= size
-        self.room.set()
+    def acknowledge(self, size: int) -> None:
+        """Note that ``size`` more bytes were passed on to the caller."""
+        self.unacknowledged -= size
+        self.window_open.set()
 
 
 @dataclass(frozen=True, slots=True)
-class _BackSink:
+class _PeerSink:
     """The answer sink of a request that came from another agent."""
 
-    incoming: Incoming
+    incoming: ReceivedRequest
 
     async def start(self, head: AnswerHead) -> bool:
         return await self.incoming.start_answer(head)
@@ -107,68 +116,83 @@
 
 @dataclass
 class Handoffs:
-    """All requests under way between this agent and the others of its service."""
+    """All requests handed off between this agent and the others of its service.
+
+    ``send_message`` sends a message to an agent by name, and returns False if there is
+    no stream to it. ``run`` runs a request of another agent. ``number`` is that of the
+    last request handed off.
+    """
 
     send_message: Send
     run: Run
     tasks: Tasks
     number: int = 0
-    outgoing: dict[int, Outgoing] = field(default_factory=dict)
-    incoming: dict[tuple[str, int], Incoming] = field(default_factory=dict)
+    outgoing: dict[int, SentRequest] = field(default_factory=dict)
+    incoming: dict[tuple[str, int], ReceivedRequest] = field(default_factory=dict)
 
     async def send(
         self, name: str, request: Request, sink: AnswerSink
-    ) -> Result[int, Refusal]:
-        """Have another agent run a request, and pass its answer to a sink."""
+    ) -> Result[int, Failure]:
+        """Hand a request off to another agent, and pass its answer to a sink.
+
+        Args:
+            name: The other agent.
+            request: The request.
+            sink: Gets the answer as it arrives.
+
+        Returns:
+            The status of an answer that was passed on whole, or why there is none.
+        """
         self.number += 1
         number = self.number
-        outgoing = Outgoing(name)
+        outgoing = SentRequest(name)
         self.outgoing[number] = outgoing
-        settled = False
+        finished = False
         try:
             if not await self._send_request(name, number, request):
-                # The receiver runs nothing before the last part, which never left.
-                return Err(Refusal(Outcome.NOT_RUN, Reason.REFUSED))
-            async with asyncio.timeout_at(request.deadline + GRACE_SECONDS):
+                # The receiver runs a request only once it has the last part.
+                return Err(Failure(RequestOutcome.NOT_RUN, Reason.REFUSED))
+            async with asyncio.timeout_at(request.deadline + ANSWER_GRACE_SECONDS):
                 result = await self._pass_answer(outgoing, number, sink)
-                settled = True
+                finished = True
                 return result
         except TimeoutError:
-            return Err(Refusal(Outcome.UNKNOWN, Reason.DEADLINE))
+            return Err(Failure(RequestOutcome.UNKNOWN, Reason.DEADLINE))
         finally:
             del self.outgoing[number]
-            if not settled:
+            if not finished:
                 self.send_message(name, RequestCancel(number))
 
     def receive(self, sender: str, message: Message) -> None:
-        """Take a message about a request from another agent."""
+        """Process a message of another agent about a request."""
         match message:
             case RequestStart(number):
-                incoming = Incoming(message, sender, self.send_message)
+                incoming = ReceivedRequest(message, sender, self.send_message)
                 self.incoming[sender, number] = incoming
             case RequestPart(number):
-                self._take_part(sender, message)
+                self._receive_part(sender, message)
             case RequestCancel(number):
                 self._cancel(sender, number)
             case AnswerTaken(number, size):
                 incoming = self.incoming.get((sender, number))
                 if incoming is not None:
-                    incoming.taken(size)
+                    incoming.acknowledge(size)
             case AnswerStart(number) | AnswerPart(number) | AnswerFailed(number):
                 outgoing = self.outgoing.get(number)
                 if outgoing is not None and outgoing.name == sender:
-                    outgoing.back.put_nowait(message)
+                    outgoing.answer_messages.put_nowait(message)
 
-    def lost(self, name: str) -> None:
-        """Note that the stream to an agent is gone, and all under way with it."""
+    def peer_lost(self, name: str) -> None:
+        """Fail what was handed off to an agent, and cancel what it handed off here."""
         for outgoing in self.outgoing.values():
             if outgoing.name == name:
-                outgoing.back.put_nowait(None)
+                outgoing.answer_messages.put_nowait(None)
         for sender, number in list(self.incoming):
             if sender == name:
                 self._cancel(sender, number)
 
     async def _send_request(self, name: str, number: int, request: Request) -> bool:
+        """Send a request in parts; False if the stream is lost."""
         remaining = request.deadline - asyncio.get_running_loop().time()
         start = RequestStart(
             number,
@@ -188,26 +212,29 @@
             if not self.send_message(name, RequestPart(number, at, part, last)):
                 return False
             if not last:
-                # One part a turn of the loop keeps frames under their limit.
+                # One part per iteration of the event loop keeps frames within limits.
                 await asyncio.sleep(0)
         return True
 
     async def _pass_answer(
-        self, outgoing: Outgoing, number: int, sink: AnswerSink
-    ) -> Result[int, Refusal]:
+        self, outgoing: SentRequest, number: int, sink: AnswerSink
+    ) -> Result[int, Failure]:
+        """Pass the parts of an answer on to a sink as they arrive."""
         status = passed = 0
         while True:
             wanted = True
-            match await outgoing.back.get():
+            match await outgoing.answer_messages.get():
                 case None:
-                    return Err(Refusal(Outcome.UNKNOWN, Reason.BROKEN))
+                    return Err(Failure(RequestOutcome.UNKNOWN, Reason.BROKEN))
                 case AnswerFailed(_, outcome, reason, retry_after):
-                    told = Refusal(Outcome(outcome), Reason(reason), retry_after)
-                    return Err(told)
+                    failure = Failure(
+                        RequestOutcome(outcome), Reason(reason), retry_after
+                    )
+                    return Err(failure)
                 case AnswerStart(_, status, reason, headers):
                     wanted = await sink.start(AnswerHead(status, reason, headers))
                 case AnswerPart(offset=offset) if offset != passed or not status:
-                    return Err(Refusal(Outcome.UNKNOWN, Reason.BROKEN))
+                    return Err(Failure(RequestOutcome.UNKNOWN, Reason.BROKEN))
                 case AnswerPart(body=body, last=last):
                     passed += len(body)
                     wanted = await sink.write(body)
@@ -216,51 +243,55 @@
                     self.send_message(outgoing.name, AnswerTaken(number, len(body)))
             if not wanted:
                 self.send_message(outgoing.name, RequestCancel(number))
-                return Err(Refusal(Outcome.UNKNOWN, Reason.CANCELLED))
+                return Err(Failure(RequestOutcome.UNKNOWN, Reason.CANCELLED))
 
-    def _take_part(self, sender: str, part: RequestPart) -> None:
+    def _receive_part(self, sender: str, part: RequestPart) -> None:
+        """Add a part of a request's body; run the request once it is complete."""
         incoming = self.incoming.get((sender, part.number))
-        if incoming is None or incoming.work is not None:
+        if incoming is None or incoming.task is not None:
             return
         in_order = part.offset == len(incoming.body)
         incoming.body += part.body
-        whole = in_order and len(incoming.body) == incoming.start.length
-        if part.last and whole:
+        complete = in_order and len(incoming.body) == incoming.start.length
+        if part.last and complete:
             work = self._run(incoming)
             name = f"request {part.number} of {sender}"
-            incoming.work = self.tasks.start(work, name=name)
+            incoming.task = self.tasks.start(work, name=name)
         elif part.last or not in_order or len(incoming.body) > incoming.start.length:
-            # A part went down with a stream. Run short, it would be another request.
+            # A part was lost with a stream. Without it this would be another request.
             del self.incoming[sender, part.number]
-            self._fail(incoming, Refusal(Outcome.NOT_RUN, Reason.BROKEN))
+            self._fail(incoming, Failure(RequestOutcome.NOT_RUN, Reason.BROKEN))
 
-    async def _run(self, incoming: Incoming) -> None:
+    async def _run(self, incoming: ReceivedRequest) -> None:
+        """Run a request of another agent, and send its answer back."""
         try:
-            result = await self.run(_request_from(incoming), _BackSink(incoming))
+            result = await self.run(_request_from(incoming), _PeerSink(incoming))
             match result:
                 case Ok(_):
                     incoming.end_answer()
-                case Err(refusal):
-                    self._fail(incoming, refusal)
+                case Err(failure):
+                    self._fail(incoming, failure)
         finally:
             self.incoming.pop((incoming.sender, incoming.start.number), None)
 
-    def _fail(self, incoming: Incoming, refusal: Refusal) -> None:
+    def _fail(self, incoming: ReceivedRequest, failure: Failure) -> None:
+        """Report to the sender that its request got no answer."""
         message = AnswerFailed(
             incoming.start.number,
-            refusal.outcome.value,
-            refusal.reason.value,
-            refusal.retry_after,
+            failure.outcome.value,
+            failure.reason.value,
+            failure.retry_after,
         )
         self.send_message(incoming.sender, message)
 
     def _cancel(self, sender: str, number: int) -> None:
+        """Cancel a request of another agent."""
         incoming = self.incoming.pop((sender, number), None)
-        if incoming is not None and incoming.work is not None:
-            incoming.work.cancel()
+        if incoming is not None and incoming.task is not None:
+            incoming.task.cancel()
 
 
-def _request_from(incoming: Incoming) -> Request:
+def _request_from(incoming: ReceivedRequest) -> Request:
     now = asyncio.get_running_loop().time()
     start = incoming.start
     return Request(
--- a/packages/cornelspan-requests/src/cornelspan_requests/keyed.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/keyed.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key: run at most once, answered again when repeated."""
+"""Requests with an idempotency key: run at most once, with replay of the answer."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,70 +8,70 @@
 
 from cornelspan_common.requests import KeptAnswer, KeyRecord
 from cornelspan_common.tasks import Tasks
-from cornelspan_requests.admission import LEAST_RETRY_AFTER
-from cornelspan_requests.claims import Claims, Granted, Known, NoQuorum
+from cornelspan_requests.admission import MIN_RETRY_AFTER_SECONDS
+from cornelspan_requests.claims import Claims, Existing, Granted, NoQuorum
 from cornelspan_requests.exchange import Answer, Request
 from cornelspan_requests.keys import KeyState, fingerprint_of, key_digest
 from cornelspan_requests.outcomes import (
     REPLAYED_HEADER,
     AnswerHead,
-    Outcome,
+    Failure,
     Reason,
-    Refusal,
+    RequestOutcome,
 )
 from cornelspan_requests.retries import IDEMPOTENT_METHODS
 
-KEPT_BYTES = 16384
-LONGEST_KEY = 255
+MAX_KEPT_BYTES = 16384
+MAX_KEY_LENGTH = 255
 
-Serve = Callable[[Request, "KeptSink"], Awaitable[Result[int, Refusal]]]
+Serve = Callable[[Request, "RecordingSink"], Awaitable[Result[int, Failure]]]
 
 
 @dataclass
-class KeptSink:
-    """Passes an answer to its caller and keeps a copy, if it is small.
+class RecordingSink:
+    """Sends an answer to its caller and keeps a copy if it is small enough.
 
-    A caller that has gone away doesn't end the run: cut short, an order might be
-    half cooked, and its repetition would find nothing to be told.
+    The run goes on if the caller disconnects. If it were cancelled, the request might
+    be half done, and the outcome of its repetition would be unknown.
     """
 
     answer: Answer
     head: AnswerHead | None = None
     body: bytearray = field(default_factory=bytearray)
     too_long: bool = False
-    gone: bool = False
+    caller_gone: bool = False
 
     @property
     def begun(self) -> bool:
-        """Whether an answer has begun."""
+        """Whether the head of an answer has been sent."""
         return self.head is not None
 
     async def start(self, head: AnswerHead) -> bool:
-        """Take status and headers."""
+        """Send and keep status and headers."""
         self.head = head
-        self.gone = self.gone or not await self.answer.start(head)
+        self.caller_gone = self.caller_gone or not await self.answer.start(head)
         return True
 
     async def write(self, chunk: bytes) -> bool:
-        """Take a part of the body."""
-        if len(self.body) + len(chunk) > KEPT_BYTES:
+        """Send and keep a part of the body."""
+        if len(self.body) + len(chunk) > MAX_KEPT_BYTES:
             self.too_long = True
             self.body.clear()
         if not self.too_long:
             self.body += chunk
-        self.gone = self.gone or not await self.answer.write(chunk)
+        self.caller_gone = self.caller_gone or not await self.answer.write(chunk)
         return True
 
-    def kept(self) -> KeptAnswer | None:
-        """Return the answer as it is kept, None if it was too long."""
+    def kept_answer(self) -> KeptAnswer | None:
+        """Return the answer to keep; None if it is too long or there is none."""
         if self.head is None or self.too_long:
             return None
         head = self.head
         return KeptAnswer(head.status, head.reason, head.headers, bytes(self.body))
 
 
-def is_guarded(request: Request) -> bool:
-    """Whether a request's key has to be claimed: a method that isn't idempotent."""
+def needs_claim(request: Request) -> bool:
+    """Whether a request has a key to claim: only if its method isn't idempotent."""
     return bool(request.key) and request.method not in IDEMPOTENT_METHODS
 
 
@@ -81,36 +81,38 @@
     claims: Claims,
     serve: Serve,
     tasks: Tasks,
-) -> Result[int, Refusal]:
-    """Run a request if its key has not run, else answer by what has become of it.
+) -> Result[int, Failure]:
+    """Run a request if its key has not run, otherwise answer from its record.
 
     Args:
         request: A request with a key.
-        answer: The way to its caller.
+        answer: Sends the answer to the caller.
         claims: The claims of this agent.
         serve: Runs the request.
-        tasks: Holds the run, which goes on when the caller goes away.
+        tasks: Runs it as a task, which goes on if the caller disconnects.
     """
-    if len(request.key) > LONGEST_KEY:
-        return Err(Refusal(Outcome.NOT_RUN, Reason.TOO_LARGE))
+    if len(request.key) > MAX_KEY_LENGTH:
+        return Err(Failure(RequestOutcome.NOT_RUN, Reason.TOO_LARGE))
     fingerprint = fingerprint_of(request.method, request.target, request.body)
     key = key_digest(request.key)
     match await claims.claim(key, fingerprint, request.deadline):
         case Granted(claim):
-            work = _run(request, answer, claims, claim, serve)
+            work = _run_claimed(request, answer, claims, claim, serve)
             return await asyncio.shield(tasks.start(work, name="keyed request"))
-        case Known(record, holder_gone):
-            return await _repeat(answer, record, fingerprint, holder_gone)
+        case Existing(record, holder_gone):
+            return await _answer_repeat(answer, record, fingerprint, holder_gone)
         case NoQuorum():
-            unknown = Refusal(Outcome.UNKNOWN, Reason.NO_QUORUM, LEAST_RETRY_AFTER)
+            unknown = Failure(
+                RequestOutcome.UNKNOWN, Reason.NO_QUORUM, MIN_RETRY_AFTER_SECONDS
+            )
             return Err(unknown)
 
 
-async def _run(
+async def _run_claimed(
     request: Request, answer: Answer, claims: Claims, claim: KeyRecord, serve: Serve
-) -> Result[int, Refusal]:
-    """Run under a claim, and tell all others how it ended."""
-    sink = KeptSink(answer)
+) -> Result[int, Failure]:
+    """Run a request under a granted claim, and record how it ended at all agents."""
+    sink = RecordingSink(answer)
     state = KeyState.UNKNOWN
     kept = None
     try:
@@ -118,8 +120,8 @@
         match result:
             case Ok(_):
                 state = KeyState.DONE
-                kept = sink.kept()
-            case Err(Refusal(outcome=Outcome.NOT_RUN)):
+                kept = sink.kept_answer()
+            case Err(Failure(outcome=RequestOutcome.NOT_RUN)):
                 state = KeyState.CLAIMED
         return result
     finally:
@@ -129,19 +131,19 @@
             claims.finish(claim, state, kept)
 
 
-async def _repeat(
+async def _answer_repeat(
     answer: Answer, record: KeyRecord, fingerprint: int, holder_gone: bool
-) -> Result[int, Refusal]:
-    """Answer a repetition from what is known of the first run."""
+) -> Result[int, Failure]:
+    """Answer a repeated request from the record of the first run."""
     if record.fingerprint != fingerprint:
-        return Err(Refusal(Outcome.NOT_RUN, Reason.KEY_REUSED))
+        return Err(Failure(RequestOutcome.NOT_RUN, Reason.KEY_REUSED))
     if record.state == KeyState.CLAIMED and not holder_gone:
-        busy = Refusal(Outcome.UNKNOWN, Reason.KEY_BUSY, LEAST_RETRY_AFTER)
+        busy = Failure(RequestOutcome.UNKNOWN, Reason.KEY_BUSY, MIN_RETRY_AFTER_SECONDS)
         return Err(busy)
     if record.state != KeyState.DONE:
-        return Err(Refusal(Outcome.UNKNOWN, Reason.KEY_LOST))
+        return Err(Failure(RequestOutcome.UNKNOWN, Reason.KEY_LOST))
     if record.answer is None:
-        return Err(Refusal(Outcome.RAN, Reason.ANSWER_NOT_KEPT))
+        return Err(Failure(RequestOutcome.RAN, Reason.ANSWER_NOT_KEPT))
     kept = record.answer
     headers = (*kept.headers, (REPLAYED_HEADER, "true"))
     await answer.start(AnswerHead(kept.status, kept.reason, headers))
--- a/packages/cornelspan-requests/src/cornelspan_requests/queue.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/queue.py
@@ -1,8 +1,9 @@
-"""The bounded queue of requests that wait for a slot.
+"""The queue of requests that wait for a slot.
 
-Order: priority class first, then how crowded the caller is, then deadline. A caller's
-crowding is how many rounds of slots its own requests fill already, so one caller that
-sends a flood, however tight its deadlines, stands behind those who ask for little.
+Requests are ordered by priority, then by the load of their caller, then by deadline.
+The caller load is the number of requests that the caller has running or waiting,
+divided by the number of slots. So a caller that sends many requests with short
+deadlines can't get ahead of callers that send few.
 """
 
 import bisect
@@ -11,23 +12,25 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Place:
-    """Where a request stands; the least goes first.
+class QueuePosition:
+    """The sort key of a request; the smallest is served first.
 
-    Times are seconds of the clock that the owner of the queue goes by.
+    ``priority`` 0 is the most urgent. ``deadline`` is in seconds on the queue owner's
+    clock. ``arrival`` is the order of arrival.
     """
 
     priority: int
-    crowding: int
+    caller_load: int
     deadline: float
-    number: int
+    arrival: int
 
 
 @dataclass(eq=False, slots=True)
 class Ticket:
-    """One request that asks for a slot.
+    """One request that asks for a slot; times in seconds on the queue owner's clock.
 
-    ``latest`` is when it must have a slot so as to end by its deadline.
+    ``arrived`` is when it came, ``started`` when it got its slot, and ``latest_start``
+    when it must get one to finish by its deadline. ``size`` is its body's, in bytes.
     """
 
     caller: str
@@ -35,60 +38,63 @@
     deadline: float
     arrived: float
     size: int = 0
-    place: Place = field(default=Place(0, 0, 0.0, 0))
-    latest: float = 0.0
+    position: QueuePosition = field(default=QueuePosition(0, 0, 0.0, 0))
+    latest_start: float = 0.0
     started: float = 0.0
 
 
 @dataclass
 class RequestQueue:
-    """Waiting tickets in order, with counts by caller and of bytes held."""
+    """Waiting tickets in order, with counts by caller and priority.
+
+    ``queued_bytes`` is the size of all waiting bodies.
+    """
 
     tickets: list[Ticket] = field(default_factory=list)
     callers: Counter[str] = field(default_factory=Counter)
     priorities: Counter[int] = field(default_factory=Counter)
-    held_bytes: int = 0
+    queued_bytes: int = 0
 
     def __len__(self) -> int:
         return len(self.tickets)
 
-    def ahead_of(self, place: Place) -> int:
-        """Return how many tickets go before a place."""
-        return bisect.bisect_left(self.tickets, place, key=_place)
+    def ahead_of(self, position: QueuePosition) -> int:
+        """Return how many waiting tickets are served before a position."""
+        return bisect.bisect_left(self.tickets, position, key=_position_of)
 
     def add(self, ticket: Ticket) -> None:
-        """Put a ticket at its place."""
-        bisect.insort(self.tickets, ticket, key=_place)
+        """Insert a ticket at its position."""
+        bisect.insort(self.tickets, ticket, key=_position_of)
         self.callers[ticket.caller] += 1
         self.priorities[ticket.priority] += 1
-        self.held_bytes += ticket.size
+        self.queued_bytes += ticket.size
 
-    def up_to(self, priority: int) -> int:
-        """Return how many tickets have this priority or a better one."""
-        return sum(n for known, n in self.priorities.items() if known <= priority)
+    def count_up_to(self, priority: int) -> int:
+        """Return how many tickets have this priority or a more urgent one."""
+        return sum(n for other, n in self.priorities.items() if other <= priority)
 
     def remove(self, ticket: Ticket) -> bool:
-        """Take a ticket out; False if it is not in the queue."""
-        at = self.ahead_of(ticket.place)
-        if at == len(self.tickets) or self.tickets[at] is not ticket:
+        """Remove a ticket; False if it is not in the queue."""
+        index = self.ahead_of(ticket.position)
+        if index == len(self.tickets) or self.tickets[index] is not ticket:
             return False
-        del self.tickets[at]
-        self._forget(ticket)
+        del self.tickets[index]
+        self._uncount(ticket)
         return True
 
     def pop(self) -> Ticket:
-        """Take out the first ticket."""
+        """Remove and return the first ticket."""
         ticket = self.tickets.pop(0)
-        self._forget(ticket)
+        self._uncount(ticket)
         return ticket
 
-    def _forget(self, ticket: Ticket) -> None:
-        self.held_bytes -= ticket.size
+    def _uncount(self, ticket: Ticket) -> None:
+        self.queued_bytes -= ticket.size
         self.priorities[ticket.priority] -= 1
         self.callers[ticket.caller] -= 1
         if self.callers[ticket.caller] <= 0:
             del self.callers[ticket.caller]
 
 
-def _place(ticket: Ticket) -> Place:
-    return ticket.place
+def _position_of(ticket: Ticket) -> QueuePosition:
+    return ticket.position
--- a/tests/test_keyed_path.py
+++ b/tests/test_keyed_path.py
@@ -1,4 +1,4 @@
-"""Keyed orders over the whole path: callers repeat, agents die, answers get lost."""
+"""Keyed orders over the whole path, with repeated orders and failing agents."""
 
 import asyncio
 import dataclasses
@@ -13,8 +13,8 @@
 TRIES = 4
 
 
-async def order(address, number, told):
-    """Send one order until its answer is known, each time on a new flow."""
+async def order(address, number, outcomes):
+    """Repeat one order, each time on a new flow, until its outcome is "ran"."""
     request_id = f"order-{number}"
     body = msgspec.json.encode({"request_id": request_id})
     client = AsyncHTTPClient(force_instance=True, max_clients=1)
@@ -30,30 +30,30 @@
             )
         except (OSError, HTTPError):
             continue
-        told[request_id] = answer.headers.get("Cornelspan-Outcome", "cut")
-        if told[request_id] == "ran":
+        outcomes[request_id] = answer.headers.get("Cornelspan-Outcome", "cut")
+        if outcomes[request_id] == "ran":
             break
     client.close()
 
 
 async def test_repeated_orders_run_once_while_agents_die(base_port):
-    # Servers lose a fifth of their answers and two agents are killed, one of which
-    # comes back with an empty memory. Callers repeat what they have no answer to, over
-    # whichever balancer and agent it reaches. The kitchen must see no order twice.
+    # Servers lose a fifth of their answers. Two agents are killed, and one of them
+    # restarts without its records. Callers repeat unanswered orders, which may reach
+    # another balancer and agent. No order may run twice.
     plan = dataclasses.replace(
         SHIRAKABA,
         base_port=base_port,
         mean_seconds=0.05,
         servers={"order-hub": {"lose_answers": 0.2}},
     )
-    told = {}
+    outcomes = {}
     async with deployment(plan) as state:
         address = caller_address(plan, "order-hub")
         numbers = random.Random(1)
 
         async def later(number):
             await asyncio.sleep(numbers.uniform(0, 3))
-            await order(address, number, told)
+            await order(address, number, outcomes)
 
         async def break_agents():
             await asyncio.sleep(0.8)
@@ -68,6 +68,8 @@
         ran = {run.idempotency_key for run in state.journal.runs}
         assert state.journal.double_runs() == 0
         assert not [
-            key for key, outcome in told.items() if outcome == "not-run" and key in ran
+            key
+            for key, outcome in outcomes.items()
+            if outcome == "not-run" and key in ran
         ]
         assert len(ran) >= 0.8 * ORDERS
