--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
@@ -30,7 +30,7 @@
 from cornelspan_passthrough.flows import (
     NO_UNCONFIRMED_PACKET,
     FlowTable,
-    OwnedFlow,
+    TrackedFlow,
     UnconfirmedPacket,
 )
 from cornelspan_passthrough.histograms import Histogram
@@ -63,14 +63,16 @@
 # Flows are kept a quarter longer than they may be open, so that no record expires
 # before its flow ends.
 RETENTION_FACTOR = 1.25
-# Requests at the endpoint beyond its slots. With one, a slot that becomes free is
-# filled at once. Any more would wait in the endpoint's queue, which ignores priorities.
-DEFAULT_QUEUED_REQUESTS = 1
-# An endpoint rejects new flows once it has this many times its slots of work: one round
-# of requests running and another waiting.
+# How many more requests than the endpoint has slots may be at the endpoint. With one, a
+# slot that becomes free is filled at once. Any more would wait in the endpoint's queue,
+# which ignores priorities.
+DEFAULT_REQUESTS_BEYOND_SLOTS = 1
+# The agent rejects new flows once the work reaches this many times the endpoint's
+# slots, plus ``requests_beyond_slots``: one round of requests running and another
+# waiting.
 BUSY_FACTOR = 2
 # A flow's first request follows its first packet after a round trip to the client.
-# Flows that started within this time count as work.
+# Flows that started within this time are counted as expected requests.
 FIRST_REQUEST_SECONDS = 0.02
 
 log = get_log(__name__)
@@ -83,11 +85,12 @@
     ``started_at`` is when the agent started; flows that opened earlier are unknown
     here, though the endpoint may hold them. ``unconfirmed_packets`` has the latest
     packet of each unknown flow that was sent to the endpoint. ``balancers`` are those
-    that have sent pings, the last one at ``last_ping_at``. ``unlisted_since`` is when
-    pings began to say that the agent is missing from the listing, None if it is listed.
-    ``queued_requests`` may be at the endpoint beyond its slots. ``report_listener``
-    accepts the endpoint's connections from the start, though its calls are answered
-    later. Times are of the event loop's clock, in seconds.
+    that have sent pings, the last one at ``last_ping_at``. ``unregistered_since`` is
+    when pings began to say that the agent is not registered, None if it is.
+    ``requests_beyond_slots`` is how many more requests than the endpoint has slots may
+    be at the endpoint. ``report_listener`` queues the endpoint's connections from the
+    start, though its calls are answered later. Times are of the event loop's clock, in
+    seconds.
     """
 
     settings: PassthroughAgentSettings
@@ -100,9 +103,9 @@
     unconfirmed_packets: dict[int, UnconfirmedPacket] = field(default_factory=dict)
     balancers: set[str] = field(default_factory=set)
     last_ping_at: float = 0.0
-    unlisted_since: float | None = None
+    unregistered_since: float | None = None
     stopping: bool = False
-    queued_requests: int = DEFAULT_QUEUED_REQUESTS
+    requests_beyond_slots: int = DEFAULT_REQUESTS_BEYOND_SLOTS
 
     def __post_init__(self) -> None:
         settings = self.settings
@@ -111,7 +114,7 @@
         self.owner_records: Expiring[int] = Expiring(idle_seconds=retention_seconds)
         self.request_queue = RequestQueue()
         self.outlier_detector = Judgement()
-        self.log_budget = complaint_bucket()
+        self.log_rate_limit = complaint_bucket()
         self.waiting_times = Histogram()
         self.endpoint = Endpoint(
             settings.service, settings.report_milliseconds / 1000, self.started_at
@@ -184,8 +187,8 @@
         if reason:
             self._reject(header.flow, reason, open_message.packet, balancer)
             return
-        owned = self.flows.start(header.flow, balancer, open_message.homes, now)
-        owned.urgency = open_message.urgency
+        tracked = self.flows.start(header.flow, balancer, open_message.homes, now)
+        tracked.urgency = open_message.urgency
         self.counts["flows_offered"] += 1
         self.send_to_endpoint(open_message.packet, messages.OPEN)
 
@@ -208,17 +211,18 @@
         )
 
     def _is_busy(self, now: float) -> bool:
-        """Whether new flows should go to other endpoints.
+        """Whether new flows should be rejected so that they go to other endpoints.
 
-        Balancers know a load that is some hundred milliseconds old. In a burst, each of
-        them sends its share to the same idle endpoint before it learns of the others'
-        flows.
+        The load that balancers know is some hundred milliseconds old. In a burst, each
+        balancer sends its share to the same idle endpoint before that balancer learns
+        of the others' flows.
         """
-        expected = self.flows.started_since(now - FIRST_REQUEST_SECONDS)
-        busy = self.flows.running + len(self.request_queue) + expected
-        return busy >= BUSY_FACTOR * self.endpoint.capacity + self.queued_requests
+        expected_requests = self.flows.started_since(now - FIRST_REQUEST_SECONDS)
+        work = self.flows.running + len(self.request_queue) + expected_requests
+        return work >= BUSY_FACTOR * self.endpoint.capacity + self.requests_beyond_slots
 
     def _reject(self, flow: int, reason: int, packet: bytes, balancer: str) -> None:
+        """Return a first packet to its balancer, with the reason."""
         log.info(
             "new flow rejected",
             extra={
@@ -242,6 +246,7 @@
         self.send(balancer, message)
 
     def _receive_ping(self, data: bytes, sender: str, now: float) -> None:
+        """Note a balancer's ping and reply with a pong."""
         try:
             ping = msgspec.msgpack.decode(data[1:], type=Ping)
         except msgspec.DecodeError:
@@ -250,9 +255,9 @@
         self.last_ping_at = now
         self.balancers.add(sender)
         if ping.listed:
-            self.unlisted_since = None
-        elif self.unlisted_since is None:
-            self.unlisted_since = now
+            self.unregistered_since = None
+        elif self.unregistered_since is None:
+            self.unregistered_since = now
         self.send(sender, self._encode_pong(now))
 
     def _encode_pong(self, now: float) -> bytes:
@@ -283,40 +288,44 @@
             release_requests(self, now)
             return
         self.packet_socket.send(data, (client_address(header.flow), self.client_port))
-        owned = self.flows.get(header.flow)
-        if owned is None:
-            owned = self._learn_flow(header, now)
+        tracked = self.flows.get(header.flow)
+        if tracked is None:
+            tracked = self._learn_flow(header, now)
         if header.flags & SYN:
-            self._announce_accepted(header.flow, owned)
+            self._announce_accepted(header.flow, tracked)
             return
-        record_packet(self, owned, header, now)
-        self.flows.record_response(header.flow, owned, header.length, now)
+        record_packet(self, tracked, header, now)
+        self.flows.record_response(header.flow, tracked, header.length, now)
         if header.flags & (FIN | RST):
-            self.flows.end(header.flow, owned)
+            self.flows.end(header.flow, tracked)
             self.request_queue.remove(header.flow)
         release_requests(self, now)
 
-    def _learn_flow(self, header: PacketHeader, now: float) -> OwnedFlow:
-        """Add a flow that opened before this process started."""
+    def _learn_flow(self, header: PacketHeader, now: float) -> TrackedFlow:
+        """Add an unknown flow that the endpoint holds, and tell the balancer the owner.
+
+        Usually the flow opened before this process started. Its homes are unknown here;
+        a balancer that had to search for the owner updates them.
+        """
         balancer = self.unconfirmed_packets.pop(
             header.flow, NO_UNCONFIRMED_PACKET
         ).balancer
-        owned = self.flows.start(header.flow, balancer, NO_HOMES, now)
-        owned.accepted = True
-        owned.is_learned = True
+        tracked = self.flows.start(header.flow, balancer, NO_HOMES, now)
+        tracked.accepted = True
+        tracked.is_learned = True
         if balancer:
             self.send_owner(header.flow, balancer)
-        return owned
+        return tracked
 
-    def _announce_accepted(self, flow: int, owned: OwnedFlow) -> None:
-        """Tell the balancer and the homes that the endpoint has accepted a flow."""
-        if owned.accepted:
+    def _announce_accepted(self, flow: int, tracked: TrackedFlow) -> None:
+        """Tell the balancer and the homes that the endpoint has accepted the flow."""
+        if tracked.accepted:
             return
-        owned.accepted = True
+        tracked.accepted = True
         self.counts["flows_taken"] += 1
-        if owned.balancer:
-            self.send_owner(flow, owned.balancer)
-        for home in owned.homes:
+        if tracked.balancer:
+            self.send_owner(flow, tracked.balancer)
+        for home in tracked.homes:
             if home not in (messages.NO_ADDRESS, self.own_address):
                 message = messages.encode_flow_message(
                     messages.RECORD, flow, agent=self.own_address
@@ -327,25 +336,25 @@
         """Process a packet that the endpoint sent back because it can't accept it."""
         packet = self.codec.marked(data, 0)
         if header.flags & SYN:
-            owned = self.flows.remove(header.flow)
-            if owned is not None:
+            tracked = self.flows.remove(header.flow)
+            if tracked is not None:
                 self._reject(
-                    header.flow, messages.ENDPOINT_FULL, packet, owned.balancer
+                    header.flow, messages.ENDPOINT_FULL, packet, tracked.balancer
                 )
             return
-        owned = self.flows.get(header.flow)
-        if owned is not None and owned.established:
+        tracked = self.flows.get(header.flow)
+        if tracked is not None and tracked.established:
             # The flow is open at this endpoint only, and the endpoint no longer holds
             # it.
-            reset_dead_flow(self, header.flow, owned, "endpoint no longer holds it")
+            reset_dead_flow(self, header.flow, tracked, "endpoint no longer holds it")
             return
         balancer, is_try, _ = self.unconfirmed_packets.pop(
             header.flow, NO_UNCONFIRMED_PACKET
         )
-        if owned is not None:
+        if tracked is not None:
             # The endpoint had answered a first packet, but the client took up the
             # answer of another endpoint.
-            balancer = owned.balancer
+            balancer = tracked.balancer
             self.flows.remove(header.flow)
         if balancer:
             send_not_here(self, header.flow, balancer, b"" if is_try else packet)
@@ -360,7 +369,7 @@
         if (self.endpoint.incarnation, self.endpoint.announced_state) != before:
             log_endpoint(self, "endpoint state changed")
             self.send_pongs(now)
-        if outcome is ReportOutcome.NEW_INCARNATION:
+        if outcome is ReportOutcome.REPLACED_INCARNATION:
             self.outlier_detector = Judgement()
             reset_flows(self, "endpoint restarted", before=last_report_at)
         return outcome
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent_sockets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent_sockets.py
@@ -1,4 +1,4 @@
-"""Opens an agent's sockets, separately from its decisions, which need no sockets."""
+"""Opens an agent's sockets; the agent itself also runs with simulated ones."""
 
 import time
 from collections.abc import Iterator
@@ -20,22 +20,23 @@
     Times are of the monotonic clock, which the event loop uses too.
 
     The endpoint reports as soon as it has started, perhaps before this process can
-    answer. If its connection were refused, it would retry up to 0.8 s later. Until then
-    its slots would be unknown and partly unused. The listening socket accepts the
-    connection, so the report waits there for its answer.
+    answer. If the connection were refused, the endpoint would retry as late as 0.8 s
+    afterwards. Until then the agent would assume one slot and leave the others unused.
+    The listening socket queues the connection instead, and the report waits there for
+    its answer.
     """
-    now = time.monotonic
+    clock = time.monotonic
     internal = (settings.address, settings.internal_port)
     with (
         datagram_socket(socket_address(settings.outbound)) as packet_socket,
         datagram_socket(internal) as daemon_socket,
         listening_socket(socket_address(settings.reports)) as listener,
     ):
-        agent = Agent(settings, codec, packet_socket, daemon_socket, now(), listener)
+        agent = Agent(settings, codec, packet_socket, daemon_socket, clock(), listener)
         packet_socket.on_datagram = lambda data, sender: agent.receive_from_endpoint(
-            data, now()
+            data, clock()
         )
         daemon_socket.on_datagram = lambda data, sender: agent.receive_from_daemon(
-            data, sender[0], now()
+            data, sender[0], clock()
         )
         yield agent
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/datagrams.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/datagrams.py
@@ -11,7 +11,8 @@
 # More than the largest datagram: the packet's header, 1,200 bytes of data and the
 # message header.
 MAX_DATAGRAM_BYTES = 65_536
-# Datagrams read in one turn, before timers and other sockets get theirs.
+# Limit of datagrams read in one turn. The rest is read in the next turn, after due
+# timers have run and other sockets have been read.
 MAX_READS_PER_TURN = 64
 
 DatagramHandler = Callable[[bytes, tuple[str, int]], None]
@@ -39,14 +40,14 @@
             self.dropped += 1
 
     def read(self) -> None:
-        """Pass the datagrams that have arrived to ``on_datagram``."""
+        """Pass up to ``MAX_READS_PER_TURN`` received datagrams to ``on_datagram``."""
         for _ in range(MAX_READS_PER_TURN):
             try:
                 data, sender = self.socket.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError as error:
-                log.warning("socket error", extra={"reason": str(error)})
+                log.warning("datagram receive failed", extra={"reason": str(error)})
                 return
             self.on_datagram(data, sender)
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/dead_flows.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/dead_flows.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from cornelspan_common.logs import get_log
-from cornelspan_passthrough.flows import OwnedFlow
+from cornelspan_passthrough.flows import TrackedFlow
 from cornelspan_passthrough.packet_headers import client_address, flow_text
 from cornelspan_passthrough.pulses import DOWN, DRAINING, READY
 
@@ -18,10 +18,11 @@
 def reset_flows(agent: "Agent", reason: str, *, before: float | None = None) -> None:
     """Reset the flows of an incarnation of the endpoint that has ended.
 
-    Flows that may be open at another endpoint are only removed: a first packet that
-    this endpoint did not answer, or answered late, is offered to another one, and a
-    reset from here would break that flow. If such a flow is dead, its client is reset
-    when the next packet finds no owner.
+    Flows that have ended, or that may be open at another endpoint, are only removed. A
+    first packet that this endpoint did not answer, or answered late, is offered to
+    another one. A reset from here would break that flow, because it has the same
+    addresses and ports. If no endpoint holds such a flow, a balancer resets it when it
+    finds no owner for the flow's next packet.
 
     Args:
         agent: The agent.
@@ -32,17 +33,19 @@
             either; for these, the endpoint sends back the next packet if it doesn't
             hold the flow.
     """
-    for flow, owned in agent.flows.all():
-        if before is not None and owned.started_at >= before:
+    for flow, tracked in agent.flows.all():
+        if before is not None and tracked.started_at >= before:
             continue
-        if owned.established and not owned.ended:
-            reset_dead_flow(agent, flow, owned, reason)
+        if tracked.established and not tracked.ended:
+            reset_dead_flow(agent, flow, tracked, reason)
         else:
             agent.flows.remove(flow)
             agent.request_queue.remove(flow)
 
 
-def reset_dead_flow(agent: "Agent", flow: int, owned: OwnedFlow, reason: str) -> None:
+def reset_dead_flow(
+    agent: "Agent", flow: int, tracked: TrackedFlow, reason: str
+) -> None:
     """Reset a flow that its endpoint no longer holds.
 
     Without the reset, the client would retransmit until its time budget ends. With it,
@@ -52,7 +55,7 @@
     agent.request_queue.remove(flow)
     agent.counts["dead_flows"] += 1
     log.info("flow dead, reset", extra={"flow": flow_text(flow), "reason": reason})
-    packet = agent.codec.reset(flow, owned.acknowledged)
+    packet = agent.codec.reset(flow, tracked.acknowledged)
     agent.packet_socket.send(packet, (client_address(flow), agent.client_port))
 
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivery.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivery.py
@@ -6,11 +6,11 @@
 from cornelspan_passthrough import messages
 from cornelspan_passthrough.flows import (
     NO_REQUEST,
-    OwnedFlow,
+    TrackedFlow,
     UnconfirmedPacket,
     is_retransmission,
 )
-from cornelspan_passthrough.outlier_detection import record_lost_requests
+from cornelspan_passthrough.outlier_detection import fail_lost_requests
 from cornelspan_passthrough.packet_headers import (
     RST,
     PacketHeader,
@@ -46,10 +46,10 @@
     if header is None:
         agent.counts["broken_packets"] += 1
         return
-    owned = agent.flows.get(header.flow)
-    if owned is not None:
-        owned.balancer = balancer
-        _forward_or_queue(agent, header, owned, packet, now)
+    tracked = agent.flows.get(header.flow)
+    if tracked is not None:
+        tracked.balancer = balancer
+        _forward_or_queue(agent, header, tracked, packet, now)
         return
     if not _may_hold_unknown_flow(agent, now):
         send_not_here(agent, header.flow, balancer, packet)
@@ -61,25 +61,29 @@
 
 
 def _forward_or_queue(
-    agent: "Agent", header: PacketHeader, owned: OwnedFlow, packet: bytes, now: float
+    agent: "Agent",
+    header: PacketHeader,
+    tracked: TrackedFlow,
+    packet: bytes,
+    now: float,
 ) -> None:
-    """Forward a packet of a flow, or queue its request if all slots are in use."""
-    if _begins_request(owned, header):
+    """Forward a packet, or queue its request if the request limit is reached."""
+    if _needs_slot(tracked, header):
         if agent.request_queue.contains(header.flow):
             agent.request_queue.add_packet(header.flow, packet, header.sequence)
             return
-        record_lost_requests(agent, now)
+        fail_lost_requests(agent, now)
         if agent.flows.running >= request_limit(agent):
-            is_first = owned.sent_up_to is None
-            deadlines = request_deadlines(owned.urgency, now, is_first=is_first)
-            request = QueuedRequest(owned.urgency.priority, deadlines, now)
+            is_first = tracked.sent_up_to is None
+            deadlines = request_deadlines(tracked.urgency, now, is_first=is_first)
+            request = QueuedRequest(tracked.urgency.priority, deadlines, now)
             agent.request_queue.push(header.flow, request, packet, header.sequence)
             agent.counts["requests_held"] += 1
             log.info(
                 "request queued",
                 extra={
                     "flow": flow_text(header.flow),
-                    "priority": owned.urgency.priority,
+                    "priority": tracked.urgency.priority,
                     "running": agent.flows.running,
                     "room": request_limit(agent),
                     "waiting": len(agent.request_queue),
@@ -87,27 +91,30 @@
             )
             return
     elif header.flags & RST:
-        agent.flows.end_request(header.flow, owned)
+        agent.flows.end_request(header.flow, tracked)
         agent.request_queue.remove(header.flow)
-    agent.flows.record_sent(header.flow, owned, header, now)
+    agent.flows.record_sent(header.flow, tracked, header, now)
     agent.send_to_endpoint(packet, messages.DELIVER)
 
 
-def _begins_request(owned: OwnedFlow, header: PacketHeader) -> bool:
-    """Whether a packet is the first of a new request."""
-    if not header.length or owned.request_started_at != NO_REQUEST:
+def _needs_slot(tracked: TrackedFlow, header: PacketHeader) -> bool:
+    """Whether a packet carries data of a request that is not at the endpoint yet."""
+    if not header.length or tracked.request_started_at != NO_REQUEST:
         return False
-    return not is_retransmission(owned, header.sequence, header.length)
+    return not is_retransmission(tracked, header.sequence, header.length)
 
 
 def request_limit(agent: "Agent") -> int:
     """Return how many requests may be at the endpoint at once."""
-    return agent.endpoint.capacity + agent.queued_requests
+    return agent.endpoint.capacity + agent.requests_beyond_slots
 
 
 def release_requests(agent: "Agent", now: float) -> None:
-    """Forward queued requests while the endpoint is below its request limit."""
-    record_lost_requests(agent, now)
+    """Forward queued requests while the endpoint is below its request limit.
+
+    Requests that count as lost are dropped first, which frees their slots.
+    """
+    fail_lost_requests(agent, now)
     if not agent.request_queue:
         return
     while agent.flows.running < request_limit(agent):
@@ -118,8 +125,8 @@
         if popped is None:
             return
         flow, request = popped
-        owned = agent.flows.get(flow)
-        if owned is None:
+        tracked = agent.flows.get(flow)
+        if tracked is None:
             continue
         waited = now - request.queued_at
         agent.waiting_times.observe(waited)
@@ -128,7 +135,7 @@
         for packet in request.packets.values():
             header = agent.codec.read_client(packet)
             if header is not None:
-                agent.flows.record_sent(header.flow, owned, header, now)
+                agent.flows.record_sent(header.flow, tracked, header, now)
                 agent.send_to_endpoint(packet, messages.DELIVER)
 
 
@@ -186,6 +193,7 @@
 def _record_unconfirmed(
     agent: "Agent", flow: int, unconfirmed: UnconfirmedPacket
 ) -> None:
+    """Record a packet of an unknown flow that goes to the endpoint."""
     agent.unconfirmed_packets.pop(flow, None)
     agent.unconfirmed_packets[flow] = unconfirmed
     if len(agent.unconfirmed_packets) > MAX_UNCONFIRMED_PACKETS:
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
@@ -12,12 +12,12 @@
 # successor has stopped reporting. The count alone does not prove that it is running,
 # because the network may have delayed several of its reports.
 RESUME_REPORTS = 2
-# An agent that has just started probes the endpoint if no report arrives within this
-# part of an interval. Without the probe, an agent whose endpoint is gone would never
-# learn that the endpoint holds no flows.
+# An agent that has just started checks the endpoint's port if no report arrives within
+# this part of an interval. Without the check, an agent whose endpoint is gone would
+# never learn that the endpoint holds no flows.
 FIRST_REPORT_INTERVALS = 0.3
-# Consecutive connection attempts without an answer, one report interval apart.
-SILENT_PROBES = 2
+# Consecutive connection checks without a result, one report interval apart.
+SILENT_CHECKS = 2
 MAX_ENDED_INCARNATIONS = 64
 
 
@@ -63,14 +63,15 @@
 class ReportOutcome(Enum):
     """How a report was classified.
 
-    ``ACCEPTED`` reports, repeats included, come from the current incarnation.
-    ``NEW_INCARNATION`` is the first report of an incarnation that replaces another.
-    ``STALE`` reports seem to come from an incarnation that has ended, ``WRONG_SERVICE``
-    reports come from an endpoint of another service.
+    ``ACCEPTED`` reports, repeats included, come from the current incarnation, or are
+    the first after a time without one. ``REPLACED_INCARNATION`` is the first report of
+    an incarnation that replaces a current one. ``STALE`` reports seem to come from an
+    incarnation that has ended, or name another service than earlier reports of the
+    current one. ``WRONG_SERVICE`` reports come from an endpoint of another service.
     """
 
     ACCEPTED = auto()
-    NEW_INCARNATION = auto()
+    REPLACED_INCARNATION = auto()
     STALE = auto()
     WRONG_SERVICE = auto()
 
@@ -82,23 +83,24 @@
     The endpoint counts as ready until its first report, because it may have kept
     running while its agent restarted. ``agent_started_at`` is when the agent started.
 
-    ``has_no_earlier_flows`` is set if the endpoint can't hold flows that were opened
-    before the agent started: the incarnation started while the agent was running, or
-    was still in its cold start, a second or two old, at its first report.
+    ``has_no_earlier_flows`` is set if the endpoint can't hold flows that opened before
+    the agent started: the incarnation replaced one that was current until then, or was
+    still in its cold start, a second or two old, at its first report.
 
     ``incarnation`` is None before the first report and after an incarnation has ended.
-    ``newest_incarnation`` is the one that started last. ``ended`` maps each ended
+    ``newest_incarnation`` is the one that was accepted last. ``ended`` maps each ended
     incarnation to the number of reports received from it since.
 
-    ``has_wrong_service`` is set while an endpoint of another service reports at this
-    address. ``is_leave_unconfirmed`` is set by a leave call that may be of an earlier
-    incarnation.
+    ``unanswered_checks`` counts connection checks without a result since the last
+    report or accepted connection. ``has_wrong_service`` is set while an endpoint of
+    another service reports at this address. ``is_leave_unconfirmed`` is set by a leave
+    call that may be of an earlier incarnation.
     """
 
     service: str
     report_seconds: float
     agent_started_at: float = 0.0
-    unanswered_probes: int = 0
+    unanswered_checks: int = 0
     has_no_earlier_flows: bool = False
     incarnation: Incarnation | None = None
     newest_incarnation: Incarnation | None = None
@@ -128,13 +130,15 @@
 
         A delayed report of an ended incarnation may arrive after its successor's first
         report. It must not replace the successor, or the successor's open flows would
-        be reset. Start times decide, not the order of arrival, because an agent that
-        restarted between the two reports has not seen the earlier incarnation end.
+        be reset. Start times decide where they are known, because an agent that
+        restarted between the two reports has not seen the earlier incarnation end. An
+        incarnation that seemed to have ended is accepted again if it keeps reporting
+        while its successor does not.
         """
         seems_ended = report.incarnation != self.incarnation and self._has_ended(
             report.incarnation
         )
-        if seems_ended and not self._has_resumed(report.incarnation, now):
+        if seems_ended and not self._check_resumed(report.incarnation, now):
             return ReportOutcome.STALE
         if report.service != self.service:
             return self._reject_wrong_service(report)
@@ -148,8 +152,7 @@
 
         A call that has the current name but no start time may be a delayed call of an
         earlier incarnation. Obeying it would reset the flows of a running endpoint. It
-        only marks the endpoint for a probe, and the probe's connection shows whether
-        the endpoint is gone.
+        only causes a connection check, which shows whether the endpoint is gone.
         """
         if self.incarnation is None:
             return False
@@ -166,7 +169,7 @@
         self.state = DOWN
 
     def is_overdue(self, now: float) -> bool:
-        """Whether a report is missing or an unconfirmed leave call needs a probe."""
+        """Whether a report is missing or a leave call needs a connection check."""
         if self.is_leave_unconfirmed:
             return True
         if self.reported_at is None:
@@ -177,10 +180,14 @@
     @property
     def is_silent(self) -> bool:
         """Whether the endpoint neither reports nor accepts connections."""
-        return self.unanswered_probes >= SILENT_PROBES
+        return self.unanswered_checks >= SILENT_CHECKS
 
     def _reject_wrong_service(self, report: Report) -> ReportOutcome:
-        """Process a report of another service; an incarnation never changes service."""
+        """Process a report of another service.
+
+        An incarnation never changes its service, so such a report of the current
+        incarnation is stale.
+        """
         if report.incarnation == self.incarnation:
             return ReportOutcome.STALE
         self.has_wrong_service = True
@@ -199,6 +206,10 @@
             self._apply_report(report, now)
 
     def _start_incarnation(self, report: Report, now: float) -> ReportOutcome:
+        """Make the report's incarnation the current one.
+
+        The outcome says whether it replaced another one.
+        """
         had_incarnation = self.incarnation is not None
         self._end_incarnation()
         self.has_no_earlier_flows = had_incarnation or report.cold_milliseconds > 0
@@ -207,18 +218,22 @@
         self.state = DRAINING if report.draining else READY
         self._apply_report(report, now)
         return (
-            ReportOutcome.NEW_INCARNATION if had_incarnation else ReportOutcome.ACCEPTED
+            ReportOutcome.REPLACED_INCARNATION
+            if had_incarnation
+            else ReportOutcome.ACCEPTED
         )
 
     def _apply_report(self, report: Report, now: float) -> None:
+        """Store what the latest report says."""
         self.sequence = report.sequence
         self.capacity = report.capacity
         self.reported_at = now
-        self.unanswered_probes = 0
+        self.unanswered_checks = 0
         self.has_wrong_service = False
         self.is_leave_unconfirmed = False
 
     def _end_incarnation(self) -> None:
+        """Add the current incarnation, if any, to the ended ones."""
         if self.incarnation is not None:
             self.ended[self.incarnation] = 0
             self._trim_ended()
@@ -245,11 +260,13 @@
             self.newest_incarnation
         ) or incarnation == Incarnation(self.newest_incarnation.name)
 
-    def _has_resumed(self, incarnation: Incarnation, now: float) -> bool:
-        """Whether an incarnation that seemed to have ended is still running.
+    def _check_resumed(self, incarnation: Incarnation, now: float) -> bool:
+        """Count a report of an incarnation that seems to have ended.
 
-        If a VM's clock was set back before the endpoint's start, the new incarnation
-        seems older than its predecessor, which no longer reports.
+        Returns:
+            Whether the incarnation is running after all. If a VM's clock was set back
+                before the endpoint's start, the new incarnation seems older than its
+                predecessor, which no longer reports.
         """
         self.ended[incarnation] = self.ended.get(incarnation, 0) + 1
         self._trim_ended()
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
@@ -54,15 +54,15 @@
 
 
 @dataclass(slots=True)
-class OwnedFlow:
+class TrackedFlow:
     """A flow that the endpoint holds or has been offered.
 
     ``balancer`` is the balancer that sent its latest packet, and ``homes`` are the
     agents that record its owner. ``urgency`` is that of its route when the flow opened.
     ``accepted`` is set once the endpoint has answered the first packet. ``established``
     is set once the endpoint has sent anything after that answer, so that it certainly
-    holds the flow. ``ended`` is set once client or endpoint has closed it.
-    ``acknowledged`` is the client's latest acknowledgement number.
+    holds the flow. ``ended`` is set once the endpoint has closed the flow, or the flow
+    is removed. ``acknowledged`` is the client's latest acknowledgement number.
 
     ``request_started_at`` is when the current request was sent, ``NO_REQUEST`` for
     none. ``sent_up_to`` is the sequence number after the last byte sent to the
@@ -85,15 +85,15 @@
     sent_up_to: int | None = None
 
 
-def is_retransmission(owned: OwnedFlow, sequence: int, length: int) -> bool:
+def is_retransmission(tracked: TrackedFlow, sequence: int, length: int) -> bool:
     """Whether the endpoint has already been sent all data of a packet.
 
     A client that lost an answer retransmits its request. The endpoint only sends its
     answer again, so the retransmission needs no slot and is not queued.
     """
-    if owned.sent_up_to is None:
+    if tracked.sent_up_to is None:
         return False
-    return (sequence + length - owned.sent_up_to) & SEQUENCE_MASK not in AHEAD_RANGE
+    return (sequence + length - tracked.sent_up_to) & SEQUENCE_MASK not in AHEAD_RANGE
 
 
 @dataclass
@@ -106,7 +106,7 @@
     """
 
     flow_seconds: float
-    by_flow: dict[int, OwnedFlow] = field(default_factory=dict)
+    by_flow: dict[int, TrackedFlow] = field(default_factory=dict)
     requests: dict[int, float] = field(default_factory=dict)
     open_flows: int = 0
     response_seconds: float = 0.0
@@ -141,81 +141,85 @@
             else 0.0
         )
 
-    def get(self, flow: int) -> OwnedFlow | None:
+    def get(self, flow: int) -> TrackedFlow | None:
         """Return a flow, None if it is unknown."""
         return self.by_flow.get(flow)
 
     def start(
         self, flow: int, balancer: str, homes: tuple[int, int], now: float
-    ) -> OwnedFlow:
-        """Add a flow, replacing any earlier one with the same number."""
+    ) -> TrackedFlow:
+        """Add a flow, replacing any earlier one with the same number.
+
+        If there are ``MAX_FLOWS`` already, the flow that was added first is removed.
+        """
         self.remove(flow)
         if len(self.by_flow) >= MAX_FLOWS:
             self.remove(next(iter(self.by_flow)))
-        owned = OwnedFlow(balancer, homes, now, now)
-        self.by_flow[flow] = owned
+        tracked = TrackedFlow(balancer, homes, now, now)
+        self.by_flow[flow] = tracked
         self.recent_starts.append(now)
-        return owned
+        return tracked
 
     def started_since(self, earliest: float) -> int:
         """Return how many of the latest flows started after a time."""
         return sum(1 for at in self.recent_starts if at > earliest)
 
     def record_sent(
-        self, flow: int, owned: OwnedFlow, header: PacketHeader, now: float
+        self, flow: int, tracked: TrackedFlow, header: PacketHeader, now: float
     ) -> None:
         """Record a packet that goes to the endpoint; new data starts a request."""
-        owned.last_used_at = now
-        owned.acknowledged = header.acknowledged
+        tracked.last_used_at = now
+        tracked.acknowledged = header.acknowledged
         if not header.length or is_retransmission(
-            owned, header.sequence, header.length
+            tracked, header.sequence, header.length
         ):
             return
-        owned.sent_up_to = (header.sequence + header.length) & SEQUENCE_MASK
-        if owned.request_started_at == NO_REQUEST:
-            owned.request_started_at = now
+        tracked.sent_up_to = (header.sequence + header.length) & SEQUENCE_MASK
+        if tracked.request_started_at == NO_REQUEST:
+            tracked.request_started_at = now
             self.requests[flow] = now
 
     def record_response(
-        self, flow: int, owned: OwnedFlow, length: int, now: float
+        self, flow: int, tracked: TrackedFlow, length: int, now: float
     ) -> None:
         """Record a packet of the endpoint after its first; data ends the request."""
-        owned.last_used_at = now
-        if not owned.established:
-            owned.established = True
+        tracked.last_used_at = now
+        if not tracked.established:
+            tracked.established = True
             self.open_flows += 1
         if length:
-            self._complete_request(flow, owned, now)
-        elif owned.is_learned:
+            self._complete_request(flow, tracked, now)
+        elif tracked.is_learned:
             # An acknowledgement without data on a flow that opened before this process
             # started: the endpoint had received the request earlier, and its answer was
             # lost with the previous process. The endpoint retransmits that answer on
             # its own timer, up to 1.6 s later. Nothing runs meanwhile, so the request
             # uses no slot.
-            self.end_request(flow, owned)
+            self.end_request(flow, tracked)
 
-    def _complete_request(self, flow: int, owned: OwnedFlow, now: float) -> None:
-        if owned.request_started_at == NO_REQUEST:
+    def _complete_request(self, flow: int, tracked: TrackedFlow, now: float) -> None:
+        """End an answered request, and add its duration to the response times."""
+        if tracked.request_started_at == NO_REQUEST:
             return
-        duration = now - owned.request_started_at
-        owned.is_learned = False
-        self.end_request(flow, owned)
+        duration = now - tracked.request_started_at
+        tracked.is_learned = False
+        self.end_request(flow, tracked)
         self.response_times.observe(duration)
         self.response_seconds += RESPONSE_TIME_WEIGHT * (
             duration - self.response_seconds
         )
         self.response_time_updated_at = now
 
-    def end(self, flow: int, owned: OwnedFlow) -> None:
-        """Record that the client or the endpoint has closed a flow."""
-        self.end_request(flow, owned)
-        if owned.established and not owned.ended:
+    def end(self, flow: int, tracked: TrackedFlow) -> None:
+        """Record that the endpoint has closed a flow, or that the flow is removed."""
+        self.end_request(flow, tracked)
+        if tracked.established and not tracked.ended:
             self.open_flows -= 1
-        owned.ended = True
+        tracked.ended = True
 
-    def end_request(self, flow: int, owned: OwnedFlow) -> None:
+    def end_request(self, flow: int, tracked: TrackedFlow) -> None:
         """Record that a flow's request is no longer running."""
-        owned.request_started_at = NO_REQUEST
+        tracked.request_started_at = NO_REQUEST
         self.requests.pop(flow, None)
 
     def drop_lost_requests(self, now: float) -> int:
@@ -232,25 +236,27 @@
             flow, started_at = next(iter(self.requests.items()))
             if now - started_at <= limit:
                 break
-            owned = self.by_flow[flow]
-            lost += not owned.is_learned
-            self.end_request(flow, owned)
+            tracked = self.by_flow[flow]
+            lost += not tracked.is_learned
+            self.end_request(flow, tracked)
         return lost
 
-    def remove(self, flow: int) -> OwnedFlow | None:
+    def remove(self, flow: int) -> TrackedFlow | None:
         """Remove a flow and return it, None if it is unknown."""
-        owned = self.by_flow.pop(flow, None)
-        if owned is not None:
-            self.end(flow, owned)
-        return owned
+        tracked = self.by_flow.pop(flow, None)
+        if tracked is not None:
+            self.end(flow, tracked)
+        return tracked
 
-    def all(self) -> list[tuple[int, OwnedFlow]]:
+    def all(self) -> list[tuple[int, TrackedFlow]]:
         """Return all flows."""
         return list(self.by_flow.items())
 
     def sweep(self, now: float) -> None:
         """Remove flows that have ended or have been idle for too long."""
-        for flow, owned in list(self.by_flow.items()):
-            retention_seconds = ENDED_FLOW_SECONDS if owned.ended else self.flow_seconds
-            if now - owned.last_used_at > retention_seconds:
+        for flow, tracked in list(self.by_flow.items()):
+            retention_seconds = (
+                ENDED_FLOW_SECONDS if tracked.ended else self.flow_seconds
+            )
+            if now - tracked.last_used_at > retention_seconds:
                 self.remove(flow)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/hello.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/hello.py
@@ -23,13 +23,14 @@
     """Send hello datagrams to the seeds until this daemon is known.
 
     Without them, a daemon that starts while the store is unavailable would learn of no
-    other daemon.
+    other daemon. Of a seed's address and port only the address is used, because daemons
+    receive datagrams at the internal port.
 
     Args:
         settings: Settings of the daemon, with the seeds.
-        member: The daemon's own entry.
+        member: The daemon's own entry in the membership.
         daemon_socket: Its socket for datagrams to other daemons.
-        is_known: Whether other daemons know this one, so that it can stop.
+        is_known: Whether another daemon has been in contact, so that hellos can stop.
     """
     hello = Hello(member.address, member.role, member.datacentre, member.service)
     datagram = bytes((HELLO,)) + msgspec.msgpack.encode(hello)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/listeners.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/listeners.py
@@ -1,16 +1,20 @@
-"""Listening sockets that accept HTTP connections before a server handles them."""
+"""Listening TCP sockets that exist before there is an HTTP server for them."""
 
 import socket
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-# Connections of one endpoint, of routers and of a few peers at once.
+# The kernel queues this many connections: those of the endpoint that reports, of
+# routers that check readiness, and of a few balancers that fetch a configuration.
 CONNECTION_BACKLOG = 64
 
 
 @contextmanager
 def listening_socket(address: tuple[str, int]) -> Iterator[socket.socket]:
-    """Yield a socket that accepts connections until the context ends."""
+    """Yield a listening socket that is closed when the context ends.
+
+    The kernel queues connections until a server accepts them.
+    """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listener.setblocking(False)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/messages.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/messages.py
@@ -155,6 +155,6 @@
     ENDPOINT_DOWN: "endpoint down",
     ENDPOINT_FULL: "endpoint full",
     ENDPOINT_BUSY: "endpoint busy",
-    ENDPOINT_PROBED: "endpoint is probed with one request",
+    ENDPOINT_PROBED: "endpoint ejected, one trial request at a time",
     ENDPOINT_WRONG_SERVICE: "another service reports at the endpoint's address",
 }
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/metrics.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/metrics.py
@@ -49,8 +49,8 @@
     values["flows"] = len(agent.flows)
     values["requests_running"] = agent.flows.running
     values["requests_waiting"] = len(agent.request_queue)
-    values["requests_expired_total"] = agent.request_queue.expired
-    values["repeats_dropped_total"] = agent.request_queue.repeats
+    values["requests_expired_total"] = agent.request_queue.dropped
+    values["repeats_dropped_total"] = agent.request_queue.dropped_packets
     values["recorded_owners"] = len(agent.owner_records)
     values["pace_seconds"] = agent.flows.response_seconds
     values["endpoint_state"] = agent.endpoint.state
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/openings.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/openings.py
@@ -1,4 +1,4 @@
-"""First packets that a balancer has placed but not yet seen accepted."""
+"""Flows whose first packet reached this balancer within the last seconds."""
 
 from dataclasses import dataclass, field
 
@@ -15,15 +15,15 @@
 
 @dataclass(slots=True)
 class Opening:
-    """A flow whose first packet is on its way to an endpoint.
+    """A flow whose first packet has arrived, until some seconds later.
 
     ``first_sent_at`` is when the client sent the first copy, ``received_at`` when the
     first copy reached this balancer. ``owner`` is the agent that the packet was last
-    sent to. ``rejected_by`` are agents whose endpoint takes no new flows,
-    ``busy_agents`` those whose endpoint only had too much work; in the ``is_final``
-    attempt, busy agents accept. ``confirmed`` is set once the endpoint has accepted the
-    flow. ``held_packet`` is the first packet while no agent is known to be up.
-    ``service`` is the service that the configuration selected.
+    sent to, "" before it was sent to any. ``rejected_by`` are agents whose endpoint
+    takes no new flows, ``busy_agents`` those whose endpoint only had too much work; in
+    the ``is_final`` attempt, busy agents accept. ``confirmed`` is set once the endpoint
+    has accepted the flow. ``held_packet`` is the first packet while no agent is known
+    to be up. ``service`` is the service that the configuration selected.
     """
 
     sequence: int
@@ -50,7 +50,7 @@
 
 @dataclass
 class Openings:
-    """Openings by flow; the oldest are removed when there are too many."""
+    """Openings by flow; ``sweep`` limits their age and number."""
 
     by_flow: dict[int, Opening] = field(default_factory=dict)
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/outlier_detection.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/outlier_detection.py
@@ -13,21 +13,21 @@
 from cornelspan_common.ejection import Standing
 from cornelspan_common.logs import get_log
 from cornelspan_passthrough import messages
-from cornelspan_passthrough.flows import NO_REQUEST, OwnedFlow
+from cornelspan_passthrough.flows import NO_REQUEST, TrackedFlow
 from cornelspan_passthrough.packet_headers import FIN, RST, PacketHeader
 
 if TYPE_CHECKING:
     from cornelspan_passthrough.agent import Agent
 
-# The first request of a probing flow follows its first packet after a round trip to the
-# client. Flows that started within this time count as probes.
-FIRST_REQUEST_SECONDS = 0.05
+# The first request of a flow that probes an ejected endpoint follows the first packet
+# after a round trip to the client. Flows that started within this time count as probes.
+PROBE_FIRST_REQUEST_SECONDS = 0.05
 
 log = get_log(__name__)
 
 
 def record_packet(
-    agent: "Agent", owned: OwnedFlow, header: PacketHeader, now: float
+    agent: "Agent", tracked: TrackedFlow, header: PacketHeader, now: float
 ) -> None:
     """Record the result that a packet of the endpoint shows; call it before the update.
 
@@ -35,7 +35,7 @@
     opened before this process started are ignored: the state of their requests is
     unknown, and their clients may be gone.
     """
-    if owned.request_started_at == NO_REQUEST or owned.is_learned:
+    if tracked.request_started_at == NO_REQUEST or tracked.is_learned:
         return
     if header.length:
         record_outcomes(agent, 1, now, succeeded=True)
@@ -43,15 +43,17 @@
         record_outcomes(agent, 1, now, succeeded=False)
 
 
-def record_lost_requests(agent: "Agent", now: float) -> None:
-    """Drop requests that count as lost, and record them as failures."""
+def fail_lost_requests(agent: "Agent", now: float) -> None:
+    """Drop requests that count as lost, freeing slots, and record them as failures."""
     lost = agent.flows.drop_lost_requests(now)
     if lost:
         record_outcomes(agent, lost, now, succeeded=False)
 
 
 def record_outcomes(agent: "Agent", count: int, now: float, *, succeeded: bool) -> None:
-    """Record results of requests, and tell all balancers when the standing changes.
+    """Record results of requests, and tell balancers if the ejection state changes.
+
+    An ejection also ends by time, when probing begins. That change is not logged here.
 
     Balancers skip ejected endpoints unless too many of a service are ejected. They
     apply that limit, because an agent does not know the other endpoints.
@@ -93,6 +95,6 @@
     if agent.outlier_detector.standing(now) is not Standing.PROBING:
         return 0
     probes = agent.flows.running + agent.flows.started_since(
-        now - FIRST_REQUEST_SECONDS
+        now - PROBE_FIRST_REQUEST_SECONDS
     )
     return messages.ENDPOINT_PROBED if probes else 0
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/request_queue.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/request_queue.py
@@ -76,15 +76,16 @@
 class RequestQueue:
     """The waiting requests by flow.
 
-    ``order`` gives the sort key by which requests are released. ``repeats`` counts
-    dropped retransmissions and ``expired`` dropped requests.
+    ``order`` gives the sort key by which requests are released. ``dropped`` counts
+    requests that expired or were removed from a full queue, ``dropped_packets`` those
+    that ``add_packet`` dropped.
     """
 
     order: RequestOrder = on_time_first
 
     by_flow: dict[int, QueuedRequest] = field(default_factory=dict)
-    repeats: int = 0
-    expired: int = 0
+    dropped_packets: int = 0
+    dropped: int = 0
 
     def __len__(self) -> int:
         return len(self.by_flow)
@@ -96,18 +97,24 @@
     def push(
         self, flow: int, request: QueuedRequest, packet: bytes, sequence: int
     ) -> None:
-        """Queue a request with its first packet."""
+        """Queue a request with its first packet.
+
+        If the queue is full, the request that was queued first is dropped.
+        """
         if len(self.by_flow) >= MAX_REQUESTS:
             del self.by_flow[next(iter(self.by_flow))]
-            self.expired += 1
+            self.dropped += 1
         request.packets[sequence] = packet
         self.by_flow[flow] = request
 
     def add_packet(self, flow: int, packet: bytes, sequence: int) -> None:
-        """Add a packet to a queued request; drop retransmissions."""
+        """Add a packet to a queued request.
+
+        Retransmissions and packets beyond ``MAX_FLOW_PACKETS`` are dropped.
+        """
         packets = self.by_flow[flow].packets
         if sequence in packets or len(packets) >= MAX_FLOW_PACKETS:
-            self.repeats += 1
+            self.dropped_packets += 1
             return
         packets[sequence] = packet
 
@@ -140,5 +147,5 @@
         ]
         for flow in flows:
             del self.by_flow[flow]
-        self.expired += len(flows)
+        self.dropped += len(flows)
         return flows
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
@@ -1,4 +1,4 @@
-"""Runs a pass-through agent: its sockets, its listing and the endpoint's calls."""
+"""Runs a pass-through agent: its sockets, its registration and the endpoint's calls."""
 
 import asyncio
 import random
@@ -33,28 +33,32 @@
 SWEEP_INTERVAL_SECONDS = 2.0
 # Interval at which queued requests are checked when no packet releases them.
 RELEASE_INTERVAL_SECONDS = 0.05
-# Interval of probes to the endpoint while a report is missing.
-PROBE_INTERVAL_SECONDS = 0.1
-PROBE_TIMEOUT_SECONDS = 0.3
-# An agent that gets no ping for this long, or that pings say is unlisted, lists itself
-# again: its entry may have been removed.
+# Interval of connection checks to the endpoint while a report is missing.
+CONNECTION_CHECK_SECONDS = 0.1
+CONNECTION_CHECK_TIMEOUT_SECONDS = 0.3
+# An agent that gets no ping for this long, or that pings say is not registered,
+# registers again: its entry may have been removed.
 PING_TIMEOUT_SECONDS = 3.0
 # While no balancer pings, each attempt doubles the timeout up to this limit. A fleet of
 # thousands of agents then writes at most a few hundred entries a second.
 MAX_PING_TIMEOUT_SECONDS = 30.0
-LISTING_CHECK_SECONDS = 1.0
+REGISTRATION_CHECK_SECONDS = 1.0
 # Time for the last datagrams to leave before the sockets close.
 STOP_DELAY_SECONDS = 0.1
 
 log = get_log(__name__)
 
 
-class ProbeOutcome(Enum):
-    """The result of a connection attempt to the endpoint's address."""
+class ConnectionCheck(Enum):
+    """The result of a connection check of the endpoint's address.
+
+    ``INCONCLUSIVE`` stands for a timeout and for errors other than a refused
+    connection.
+    """
 
     ACCEPTED = auto()
     REFUSED = auto()
-    UNANSWERED = auto()
+    INCONCLUSIVE = auto()
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +108,7 @@
             )
             _serve_http(agent, decode_call, serving)
             store = open_store(settings.store)
-            tasks.start(_stay_listed(agent, member, store), name="listing")
+            tasks.start(_stay_registered(agent, member, store), name="listing")
             tasks.start(_watch_endpoint(agent), name="endpoint")
             tasks.start(
                 follow_settings(orders, settings, agent.take_settings), name="settings"
@@ -174,79 +178,90 @@
 ) -> HTTPResponse:
     """Count a rejected call, and log it within the log's rate limit."""
     agent.counts["refused_reports"] += 1
-    if agent.log_budget.take(1, now):
-        log.warning("endpoint call rejected", extra={"reason": reason})
+    if agent.log_rate_limit.take(1, now):
+        log.warning("call from endpoint rejected", extra={"reason": reason})
     return response
 
 
-async def _stay_listed(agent: Agent, member: Member, store: PlatformStore) -> None:
-    """List this agent, and list it again whenever its entry may be gone."""
+async def _stay_registered(agent: Agent, member: Member, store: PlatformStore) -> None:
+    """Register this agent, and do so again whenever its entry may be gone."""
     backoff = Backoff(random.Random())
     await list_member(store, member, backoff)
     ping_timeout = PING_TIMEOUT_SECONDS
     while True:
-        await asyncio.sleep(LISTING_CHECK_SECONDS)
-        if not _may_be_unlisted(agent, ping_timeout):
+        await asyncio.sleep(REGISTRATION_CHECK_SECONDS)
+        if not _may_be_unregistered(agent, ping_timeout):
             continue
         last_ping_at = agent.last_ping_at
         await list_member(store, member, backoff)
-        agent.unlisted_since = None
+        agent.unregistered_since = None
         was_not_pinged = agent.last_ping_at == last_ping_at
         ping_timeout = min(MAX_PING_TIMEOUT_SECONDS, ping_timeout * 2)
         ping_timeout = ping_timeout if was_not_pinged else PING_TIMEOUT_SECONDS
         agent.last_ping_at = asyncio.get_running_loop().time()
 
 
-def _may_be_unlisted(agent: Agent, ping_timeout: float) -> bool:
+def _may_be_unregistered(agent: Agent, ping_timeout: float) -> bool:
+    """Whether pings say so, or none has arrived within the timeout.
+
+    Args:
+        agent: The agent.
+        ping_timeout: Seconds without a ping after which the entry may be gone.
+    """
     now = asyncio.get_running_loop().time()
     if (
-        agent.unlisted_since is not None
-        and now - agent.unlisted_since > LISTING_CHECK_SECONDS
+        agent.unregistered_since is not None
+        and now - agent.unregistered_since > REGISTRATION_CHECK_SECONDS
     ):
         return True
     return now - max(agent.last_ping_at, agent.started_at) > ping_timeout
 
 
 async def _watch_endpoint(agent: Agent) -> None:
-    """Probe the endpoint while its report is missing.
+    """Check the endpoint's port while its report is missing.
 
     A crashed endpoint sends nothing more. A refused connection proves that it is gone,
     so its flows are reset while their clients still have time to retry.
     """
     now = asyncio.get_running_loop().time
     while True:
-        await asyncio.sleep(PROBE_INTERVAL_SECONDS)
+        await asyncio.sleep(CONNECTION_CHECK_SECONDS)
         endpoint = agent.endpoint
         if endpoint.state == DOWN or not endpoint.is_overdue(now()):
             continue
         log.info("endpoint report overdue", extra={"life": str(endpoint.incarnation)})
-        match await _probe(agent.endpoint_address):
-            case ProbeOutcome.REFUSED:
+        match await _check_connection(agent.endpoint_address):
+            case ConnectionCheck.REFUSED:
                 agent.mark_endpoint_down()
-            case ProbeOutcome.ACCEPTED:
-                endpoint.unanswered_probes = 0
+            case ConnectionCheck.ACCEPTED:
+                endpoint.unanswered_checks = 0
                 await asyncio.sleep(endpoint.report_seconds)
-            case ProbeOutcome.UNANSWERED:
-                endpoint.unanswered_probes += 1
+            case ConnectionCheck.INCONCLUSIVE:
+                endpoint.unanswered_checks += 1
                 await asyncio.sleep(endpoint.report_seconds)
 
 
-async def _probe(address: tuple[str, int]) -> ProbeOutcome:
-    """Open a connection to the endpoint's address and close it again."""
+async def _check_connection(address: tuple[str, int]) -> ConnectionCheck:
+    """Check whether something accepts connections at the endpoint's address."""
     try:
-        async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
+        async with asyncio.timeout(CONNECTION_CHECK_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(*address)
     except ConnectionRefusedError:
-        return ProbeOutcome.REFUSED
+        return ConnectionCheck.REFUSED
     except (OSError, TimeoutError) as error:
-        log.info("endpoint probe failed", extra={"reason": repr(error)})
-        return ProbeOutcome.UNANSWERED
+        log.info(
+            "no answer to connection check of endpoint", extra={"reason": repr(error)}
+        )
+        return ConnectionCheck.INCONCLUSIVE
     writer.close()
-    return ProbeOutcome.ACCEPTED
+    return ConnectionCheck.ACCEPTED
 
 
 async def _release_periodically(agent: Agent) -> None:
-    """Release queued requests when running ones count as lost."""
+    """Check the request queue regularly.
+
+    Running requests may count as lost, which frees their slots, without any packet.
+    """
     now = asyncio.get_running_loop().time
     while True:
         await asyncio.sleep(RELEASE_INTERVAL_SECONDS)
@@ -272,7 +287,7 @@
         removed = await store.remove_member(agent.settings.address)
         if removed.is_err():
             log.warning(
-                "removal from listing failed",
+                "deregistration failed",
                 extra={"reason": str(removed.unwrap_err())},
             )
     await asyncio.sleep(STOP_DELAY_SECONDS)
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment.py
@@ -127,7 +127,7 @@
         agent = self.world.agents[address]
         agent.request_queue.order = ORDERS[policy.order]
         has_line = policy.order != "none"
-        agent.queued_requests = policy.queued_requests if has_line else NO_LINE
+        agent.requests_beyond_slots = policy.queued_requests if has_line else NO_LINE
         if not policy.ejects:
             agent.settings = msgspec.structs.replace(agent.settings, ejection=NEVER)
 
--- a/tests/test_passthrough_endpoint.py
+++ b/tests/test_passthrough_endpoint.py
@@ -25,7 +25,8 @@
     """
     endpoint.receive_report(report("i-1", 7), 0.0)
     assert (
-        endpoint.receive_report(report("i-2", 1), 1.0) is ReportOutcome.NEW_INCARNATION
+        endpoint.receive_report(report("i-2", 1), 1.0)
+        is ReportOutcome.REPLACED_INCARNATION
     )
     assert endpoint.receive_report(report("i-1", 8), 1.1) is ReportOutcome.STALE
     assert endpoint.incarnation == Incarnation("i-2")
@@ -51,7 +52,8 @@
     endpoint.receive_report(report("i-1", 7), 0.1)
     assert endpoint.receive_report(report("i-2", 2), 1.0) is ReportOutcome.STALE
     assert (
-        endpoint.receive_report(report("i-2", 3), 2.0) is ReportOutcome.NEW_INCARNATION
+        endpoint.receive_report(report("i-2", 3), 2.0)
+        is ReportOutcome.REPLACED_INCARNATION
     )
     assert endpoint.incarnation == Incarnation("i-2")
 
@@ -116,7 +118,7 @@
     endpoint.receive_report(report(sequence=40, started=1000), 0.0)
     assert (
         endpoint.receive_report(report(sequence=1, started=2000), 1.0)
-        is ReportOutcome.NEW_INCARNATION
+        is ReportOutcome.REPLACED_INCARNATION
     )
     endpoint.receive_report(report(sequence=2, draining=True, started=2000), 2.0)
     assert endpoint.state == DRAINING
@@ -126,7 +128,7 @@
     endpoint.receive_report(report(sequence=40, draining=True, started=1000), 0.0)
     assert (
         endpoint.receive_report(report(sequence=1, started=2000), 1.0)
-        is ReportOutcome.NEW_INCARNATION
+        is ReportOutcome.REPLACED_INCARNATION
     )
     assert endpoint.state == READY
 
@@ -158,7 +160,7 @@
     )
     assert (
         endpoint.receive_report(report("i-2", 2, started=5000), 2.0)
-        is ReportOutcome.NEW_INCARNATION
+        is ReportOutcome.REPLACED_INCARNATION
     )
     assert endpoint.incarnation == Incarnation("i-2", 5000)
 
@@ -173,7 +175,7 @@
     """A delayed leave call of an earlier incarnation ends no flow.
 
     The earlier incarnation had the same name. A call without a start time could be of
-    either, and only causes a probe of the endpoint's port.
+    either, and only causes a connection check of the endpoint's port.
     """
     endpoint.receive_report(report(started=2000), 0.0)
     assert not endpoint.leave(Incarnation("i-1", 1000))
@@ -211,7 +213,7 @@
 def test_a_first_report_is_missed_soon(endpoint):
     """An agent that starts without an endpoint notices that soon.
 
-    It probes the endpoint after part of a report interval and finds the port closed.
+    It checks the endpoint's port after part of a report interval and finds it closed.
     Until then, a search for a flow would wait for this endpoint.
     """
     assert not endpoint.is_overdue(0.2)
@@ -222,7 +224,7 @@
 
 
 def test_an_endpoint_that_neither_reports_nor_answers_is_silent(endpoint):
-    endpoint.unanswered_probes = 2
+    endpoint.unanswered_checks = 2
     assert endpoint.is_silent
     endpoint.receive_report(report(), 0.0)
     assert not endpoint.is_silent
--- a/tests/test_passthrough_waiting.py
+++ b/tests/test_passthrough_waiting.py
@@ -66,7 +66,7 @@
     queue.push(1, queued(0, 1.0), b"a", 1)
     assert queue.drop_expired(1.5) == [1]
     assert queue.pop(1.5, 0.1) is None
-    assert queue.expired == 1
+    assert queue.dropped == 1
 
 
 def test_repeats_take_no_room():
@@ -76,7 +76,7 @@
     queue.add_packet(1, b"b", 200)
     _, request = queue.pop(0.0, 0.1)
     assert list(request.packets.values()) == [b"a", b"b"]
-    assert queue.repeats == 1
+    assert queue.dropped_packets == 1
 
 
 def test_the_line_is_bounded():
@@ -157,11 +157,11 @@
     timer.
     """
     table = FlowTable(flow_seconds=60.0)
-    owned = table.start(1, "", (0, 0), 0.0)
-    owned.is_learned = True
-    table.record_sent(1, owned, packet(100), 1.0)
+    tracked = table.start(1, "", (0, 0), 0.0)
+    tracked.is_learned = True
+    table.record_sent(1, tracked, packet(100), 1.0)
     assert table.running == 1
-    table.record_response(1, owned, 0, 1.001)
+    table.record_response(1, tracked, 0, 1.001)
     assert table.running == 0
     assert table.response_seconds == 0.0
 
@@ -174,22 +174,22 @@
     it has slots and shed some.
     """
     table = FlowTable(flow_seconds=60.0)
-    owned = table.start(1, "", (0, 0), 0.0)
-    table.record_sent(1, owned, packet(100), 1.0)
-    table.record_response(1, owned, 0, 1.001)
+    tracked = table.start(1, "", (0, 0), 0.0)
+    table.record_sent(1, tracked, packet(100), 1.0)
+    table.record_response(1, tracked, 0, 1.001)
     assert table.running == 1
-    table.record_response(1, owned, 50, 1.04)
+    table.record_response(1, tracked, 50, 1.04)
     assert table.running == 0
 
 
 def test_a_repeat_of_an_answered_request_is_no_work():
     table = FlowTable(flow_seconds=60.0)
-    owned = table.start(1, "", (0, 0), 0.0)
-    table.record_sent(1, owned, packet(0xFFFFFFFA), 1.0)
-    table.record_response(1, owned, 50, 1.04)
-    table.record_sent(1, owned, packet(0xFFFFFFFA), 1.2)
+    tracked = table.start(1, "", (0, 0), 0.0)
+    table.record_sent(1, tracked, packet(0xFFFFFFFA), 1.0)
+    table.record_response(1, tracked, 50, 1.04)
+    table.record_sent(1, tracked, packet(0xFFFFFFFA), 1.2)
     assert table.running == 0
-    table.record_sent(1, owned, packet(4), 1.3)
+    table.record_sent(1, tracked, packet(4), 1.3)
     assert table.running == 1
 
 
@@ -200,9 +200,9 @@
     request, which the endpoint then only acknowledges.
     """
     table = FlowTable(flow_seconds=60.0)
-    owned = table.start(1, "", (0, 0), 0.0)
-    owned.is_learned = True
-    table.record_response(1, owned, 50, 0.9)
-    table.record_sent(1, owned, packet(100), 1.0)
-    table.record_response(1, owned, 0, 1.001)
+    tracked = table.start(1, "", (0, 0), 0.0)
+    tracked.is_learned = True
+    table.record_response(1, tracked, 50, 0.9)
+    table.record_sent(1, tracked, packet(100), 1.0)
+    table.record_response(1, tracked, 0, 1.001)
     assert table.running == 0
