--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -1,4 +1,9 @@
-"""The agent daemon: runs beside one endpoint and owns the flows placed there."""
+"""The agent daemon: runs beside one endpoint and owns the flows placed there.
+
+The fabrics are network elements in front of the platform. They terminate the clients'
+TCP connections and send the packets of their flows to balancers. An agent sends the
+packets of its answers directly to the fabric of the flow.
+"""
 
 import asyncio
 import dataclasses
@@ -143,11 +148,11 @@
         """Return the load of the endpoint; with no slots if it accepts no requests."""
         if self.profile.kind != "http":
             return self.router.flow_load()
-        measured = self.gateway.own_load()
-        if measured is None:
+        http_load = self.gateway.own_load()
+        if http_load is None:
             return OwnLoad(0, 0)
-        waiting = measured.waiting + self.router.silent_flows()
-        return dataclasses.replace(measured, waiting=waiting)
+        waiting = http_load.waiting + self.router.silent_flows()
+        return dataclasses.replace(http_load, waiting=waiting)
 
     def renew(self, incarnation: int) -> None:
         """Continue under a new incarnation, as others detected this one as failed."""
@@ -175,9 +180,9 @@
         await self._wait_for_flows(deadline)
         await self.gateway.drain(max(0.0, deadline - time.monotonic()))
         await self._hand_over_flows()
-        report_last(self.gateway.objectives, self.settings, self.control.plane)
+        report_last(self.gateway.objective_counts, self.settings, self.control.plane)
         self.control.leave()
-        log.info("agent left", extra={"flows": len(self.flows.owned)})
+        log.info("agent stopped", extra={"flows": len(self.flows.owned)})
 
     async def _wait_for_flows(self, deadline: float) -> None:
         """Wait until the flows have ended, or no fabric is connected any more.
@@ -247,15 +252,15 @@
         settings: The agent's settings.
         configuration: The configuration in force; the agent keeps it up to date.
         members: The known members; the agent keeps them up to date.
-        tls: TLS contexts for streams and the store; none by default. Streams to fabrics
-            never use TLS.
+        tls: TLS contexts for streams and the platform's store; none by default.
+            Streams to fabrics never use TLS.
     """
     async with task_group() as tasks:
-        state = Agent(settings, configuration, members, tasks, tls)
+        running_agent = Agent(settings, configuration, members, tasks, tls)
         peers = Peers(
-            send=state.router.send,
-            names=state.router.reachable,
-            loads=state.router.ownership.loads,
+            send=running_agent.router.send,
+            names=running_agent.router.reachable,
+            loads=running_agent.router.ownership.loads,
         )
         async with (
             gateway(
@@ -263,36 +268,37 @@
                 configuration,
                 members,
                 peers,
-                incarnation=state.hello.incarnation,
-            ) as state.gateway,
+                incarnation=running_agent.hello.incarnation,
+            ) as running_agent.gateway,
             control_plane(
                 settings,
                 configuration,
                 members,
-                hello=state.hello,
-                announcement=state.announcement,
-                renew=state.renew,
-                on_members=state.connect_peers,
+                hello=running_agent.hello,
+                announcement=running_agent.announcement,
+                renew=running_agent.renew,
+                on_members=running_agent.connect_peers,
                 tls=tls.client,
-            ) as state.control,
+            ) as running_agent.control,
             serve_peers(
                 settings.listen,
-                state.hello,
+                running_agent.hello,
                 settings.streams,
-                state.serve_packets,
+                running_agent.serve_packets,
                 tls=tls.server,
-            ) as state.server,
+            ) as running_agent.server,
         ):
             for address in settings.fabrics:
-                state.fabrics.want(str(address), address)
+                running_agent.fabrics.want(str(address), address)
             tasks.start(
-                state.flows.sweep(lambda: state.profile.idle_seconds), name="sweep"
+                running_agent.flows.sweep(lambda: running_agent.profile.idle_seconds),
+                name="sweep",
             )
-            members.announce(state.announcement())
-            tasks.start(state.router.watch(), name="watch peers")
-            counts = state.gateway.objectives
-            reporting = report_counts(counts, settings, state.control.plane)
+            members.announce(running_agent.announcement())
+            tasks.start(running_agent.router.watch(), name="watch peers")
+            counts = running_agent.gateway.objective_counts
+            reporting = report_counts(counts, settings, running_agent.control.plane)
             tasks.start(reporting, name="report counts")
             tasks.start(reload_tls(tls), name="reload TLS files")
             log.info("agent started", extra={"agent": settings.name})
-            yield state
+            yield running_agent
--- a/packages/cornelspan-daemon/src/cornelspan_daemon/running.py
+++ b/packages/cornelspan-daemon/src/cornelspan_daemon/running.py
@@ -22,10 +22,10 @@
     start_logging(settings.log, process=settings.name)
     configuration = Configuration()
     with stop_event() as stop, metrics_endpoint(settings.metrics):
-        async with balancer(settings, configuration, Members(), tls=tls) as state:
-            state.register(Metrics())
+        async with balancer(settings, configuration, Members(), tls=tls) as daemon:
+            daemon.register(Metrics())
             await stop.wait()
-            await state.leave()
+            await daemon.leave()
 
 
 async def run_agent(settings: AgentSettings, tls: Tls) -> None:
@@ -33,10 +33,10 @@
     start_logging(settings.log, process=settings.name)
     configuration = Configuration()
     with stop_event() as stop, metrics_endpoint(settings.metrics):
-        async with agent(settings, configuration, Members(), tls=tls) as state:
-            state.register(Metrics())
+        async with agent(settings, configuration, Members(), tls=tls) as daemon:
+            daemon.register(Metrics())
             await stop.wait()
-            await state.leave()
+            await daemon.leave()
 
 
 @contextmanager
--- a/packages/cornelspan-requests/src/cornelspan_requests/admission.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/admission.py
@@ -75,13 +75,16 @@
     def expected_wait(self, ahead: int) -> float:
         """Return the expected seconds until a slot is free for a ticket.
 
+        This assumes that running tickets finish at even intervals: one every mean
+        service time divided by the number of usable slots.
+
         Args:
             ahead: Waiting tickets that get a slot before it.
         """
         if self.running < self.limit and not ahead:
             return 0.0
-        busy = self.running + ahead - self.limit + 1
-        return max(0.0, busy * self.times.mean / self.limit)
+        must_finish = self.running + ahead - self.limit + 1
+        return max(0.0, must_finish * self.times.mean / self.limit)
 
     def offer(self, ticket: Ticket, policy: RequestPolicy, *, now: float) -> Decision:
         """Start a ticket, add it to the queue, or reject it.
@@ -108,15 +111,15 @@
     def finish(
         self, ticket: Ticket, *, now: float, record_time: bool = True
     ) -> list[Ticket]:
-        """Free a ticket's slot.
+        """Free a ticket's slot and start waiting tickets.
 
         Args:
             ticket: A started ticket.
             now: The time.
-            measured: Whether to record its service time.
+            record_time: Whether to record its service time.
 
         Returns:
-            Waiting tickets that were started in turn.
+            The waiting tickets that got a slot.
         """
         self.running -= 1
         self.running_callers[ticket.caller] -= 1
@@ -214,12 +217,14 @@
         return ShedTicket(ticket, self._rejection(reason))
 
     def _rejection(self, reason: Reason) -> Failure:
+        """Return the failure for a reason, with the time to retry after."""
         wait = self.expected_wait(len(self.queue))
         return Failure(
             RequestOutcome.NOT_RUN, reason, max(MIN_RETRY_AFTER_SECONDS, wait)
         )
 
     def _start(self, ticket: Ticket, now: float) -> None:
+        """Give a slot to a ticket."""
         ticket.started = now
         self.running += 1
         self.running_callers[ticket.caller] += 1
--- a/packages/cornelspan-requests/src/cornelspan_requests/backend.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/backend.py
@@ -32,7 +32,7 @@
     RequestOutcome,
 )
 
-SHED_STATUS = 503
+REJECTED_STATUS = 503
 BODYLESS_STATUSES = (204, 304)
 
 
@@ -54,15 +54,15 @@
 class _ResponseReader(HTTPMessageDelegate):
     """Passes an answer on to its sink, and records how much of it arrived.
 
-    ``shed`` is set if the server rejected the request without running it, ``unframed``
-    if the end of the answer can't be told from a broken connection.
+    ``server_rejected`` is set if the server rejected the request without running it,
+    and ``unframed`` if the end of the answer can't be told from a broken connection.
     """
 
     sink: AnswerSink
     head_request: bool
     begun: bool = False
     complete: bool = False
-    shed: bool = False
+    server_rejected: bool = False
     unframed: bool = False
     caller_gone: bool = False
     status: int = 0
@@ -75,11 +75,11 @@
         if start_line.code < 200:
             return
         self.status = start_line.code
-        self.shed = is_shed(start_line.code, headers)
+        self.server_rejected = is_rejected(start_line.code, headers)
         self.unframed = not self.head_request and not _is_framed(
             start_line.code, headers
         )
-        if self.shed:
+        if self.server_rejected:
             self.retry_after = _parse_seconds(headers.get("Retry-After", ""))
             return
         if self.unframed:
@@ -104,9 +104,9 @@
         """Do nothing: the answer stays incomplete."""
 
 
-def is_shed(status: int, headers: HTTPHeaders) -> bool:
+def is_rejected(status: int, headers: HTTPHeaders) -> bool:
     """Whether an answer says that the server did not run the request."""
-    return status == SHED_STATUS and headers.get(NOT_RUN_HEADER, "").strip() == "1"
+    return status == REJECTED_STATUS and headers.get(NOT_RUN_HEADER, "").strip() == "1"
 
 
 async def call(
@@ -121,7 +121,7 @@
         answer_bytes: Largest size of the answer's body, in bytes.
 
     Returns:
-        The status of an answer that was passed on whole, or why there is none and
+        The status once the whole answer was passed on. Otherwise why it was not, and
         whether the request may have run.
     """
     loop = asyncio.get_running_loop()
@@ -133,10 +133,12 @@
             TCPClient().connect(server.host, server.port), remaining
         )
     except (OSError, StreamClosedError, TimeoutError):
+        # No byte was sent, so the request has not run. ``REFUSED`` stands for every
+        # failure to connect, a timeout too, so that the request may be retried.
         return Err(Failure(RequestOutcome.NOT_RUN, Reason.REFUSED))
     try:
         async with asyncio.timeout_at(request.deadline):
-            return await _exchange(stream, request, sink, answer_bytes)
+            return await _send_and_read(stream, request, sink, answer_bytes)
     except TimeoutError:
         return Err(Failure(RequestOutcome.UNKNOWN, Reason.DEADLINE))
     finally:
@@ -144,7 +146,7 @@
         stream.close()
 
 
-async def _exchange(
+async def _send_and_read(
     stream: IOStream, request: Request, sink: AnswerSink, answer_bytes: int
 ) -> Result[int, Failure]:
     """Send a request over a new connection and read its answer."""
@@ -161,10 +163,12 @@
         connection.finish()
         await connection.read_response(reader)
     except StreamClosedError:
+        # The fields of the reader tell how much of the answer arrived.
         pass
+    # The reader stops passing an answer on once the caller is gone, and reads the rest.
     if reader.caller_gone:
         return Err(Failure(RequestOutcome.UNKNOWN, Reason.CANCELLED))
-    if reader.shed:
+    if reader.server_rejected:
         failure = Failure(RequestOutcome.NOT_RUN, Reason.SHED, reader.retry_after)
         return Err(failure)
     if not reader.complete or reader.unframed:
--- a/packages/cornelspan-requests/src/cornelspan_requests/claims.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/claims.py
@@ -120,7 +120,7 @@
     """The claims of one agent, its votes on other claims, and how it starts to vote.
 
     ``window`` returns how long the record of a finished run is kept, and
-    ``voter_window`` how long a lost agent stays a voter: as long as a claim can last.
+    ``voter_window`` how long a missing agent stays a voter: as long as a claim lasts.
     Both are in seconds. ``sync_number`` is the number of the latest request for the
     other agents' records, and ``records_received`` counts the records got for it.
     """
@@ -173,10 +173,10 @@
     def finish(
         self, claim: KeyRecord, state: KeyState, answer: KeptAnswer | None
     ) -> None:
-        """Record how the run of a granted claim ended, here and at all other agents.
+        """Record how the run of a granted claim ended, and send it to the other voters.
 
-        ``ANSWER_COPIES`` other agents, chosen by rendezvous hashing of the key, get the
-        answer too, so that it can be repeated after this agent has died.
+        ``ANSWER_COPIES`` of them, chosen by rendezvous hashing of the key, get the
+        answer too. So a repeated request can still get it after this agent has died.
 
         Args:
             claim: The granted claim.
@@ -280,7 +280,7 @@
         return True
 
     async def _wait_for_votes(self, vote_round: VoteRound, deadline: float) -> None:
-        """Wait until a round is decided, or until its time is over."""
+        """Wait until a round is decided, or the vote timeout or deadline passes."""
         seconds = min(VOTE_TIMEOUT_SECONDS, max(0.0, deadline - self.clock()))
         try:
             async with asyncio.timeout(seconds):
@@ -318,7 +318,7 @@
     def _holder_gone(self, record: KeyRecord) -> bool:
         """Whether the holder of a record has died, left or restarted."""
         voter = self.voters.by_name.get(record.token.holder)
-        if voter is None or voter.lost_at is not None:
+        if voter is None or voter.missing_since is not None:
             return True
         return voter.incarnation != record.token.incarnation
 
@@ -398,9 +398,11 @@
             self.voters.update_ready(now, self.voter_window())
 
     def _others(self) -> list[str]:
+        """Return the names of the other voters."""
         return sorted(self.voters.names() - {self.voters.name})
 
     def _broadcast(self, message: Message) -> None:
+        """Send a message to all other voters."""
         for name in self._others():
             self.send(name, message)
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
@@ -97,6 +97,7 @@
 
 
 def _urgent_load(peer: PeerLoad) -> PeerLoad:
+    """Return the load of a peer with only its urgent requests as waiting."""
     load = structs.replace(peer.load, waiting=peer.load.urgent)
     return PeerLoad(load, peer.unanswered)
 
@@ -169,7 +170,7 @@
             self.sampled_at = now
         if not times.is_reliable or now - self.sampled_at > MEAN_VALID_SECONDS:
             return UNMEASURED
-        return times.mean / self.endpoint.slow_start.share(
+        return times.mean / self.endpoint.slow_start.load_fraction(
             now, profile.slow_start_seconds
         )
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
@@ -67,7 +67,10 @@
     async def run(
         self, request: Request, sink: AnswerSink, profile: Profile
     ) -> Result[int, Failure]:
-        """Run a request in a slot and use its result for outlier detection.
+        """Run a request once it gets a slot.
+
+        It is rejected while the endpoint is ejected, or while another request probes
+        it. The result of the request may eject or readmit the endpoint.
 
         Args:
             request: The request.
@@ -79,12 +82,12 @@
         """
         if (failure := self._reject_if_ejected(profile)) is not None:
             return Err(failure)
-        probing = self.standing() is Standing.PROBING
-        self.ejection_state.probing += probing
+        is_probe = self.standing() is Standing.PROBING
+        self.ejection_state.probing += is_probe
         try:
             return await self._admit(request, sink, profile)
         finally:
-            self.ejection_state.probing -= probing
+            self.ejection_state.probing -= is_probe
 
     def end_excess_ejection(self, name: str, profile: Profile) -> None:
         """End this endpoint's ejection if more are ejected than the profile allows.
@@ -99,7 +102,9 @@
         share = profile.ejection.share_limit
         if must_return(name, unavailable, len(loads) + 1, share):
             self.ejection_state.readmit()
-            log.warning("endpoint readmitted", extra={"why": "too many ejected"})
+            log.warning(
+                "endpoint readmitted", extra={"why": "too many endpoints ejected"}
+            )
 
     def _reject_if_ejected(self, profile: Profile) -> Failure | None:
         """Return a failure while ejected; afterwards let one probe run at a time."""
@@ -210,7 +215,7 @@
             self._free_slot(ticket, record_time=False)
 
     def _record_result(self, result: Result[int, Failure], profile: Profile) -> bool:
-        """Use the result of a request for outlier detection.
+        """Count a result as success or failure; this may eject or readmit the endpoint.
 
         Returns:
             Whether the request's duration counts as a service time.
@@ -224,12 +229,15 @@
                 return False
             case Err(Failure(reason=reason)):
                 self._record_failure(profile, now)
+                # A request that ran into its deadline held its slot for that long.
+                # Other failures may end early, so their durations don't count.
                 return reason is Reason.DEADLINE
+        # A status of ``SERVER_ERROR`` or above.
         self._record_failure(profile, now)
         return True
 
     def _record_success(self, profile: Profile, now: float) -> None:
-        """Readmit the endpoint after a probe; eject it if it is too slow."""
+        """Readmit an endpoint that is being probed; eject one that is too slow."""
         if self.ejection_state.succeed(now):
             self.slow_start.restart(now)
             # Service times from before the ejection would eject it again at once.
@@ -238,22 +246,22 @@
         if self.admission.times.count < MIN_LATENCY_SAMPLES:
             return
         loads = list(self.peer_loads())
-        others = [
+        other_means = [
             load.mean_seconds
             for load in loads
             if load.slots > 0 and load.mean_seconds > UNMEASURED
         ]
-        own = self.admission.times.mean
-        room = self._may_eject(profile, loads)
+        own_mean = self.admission.times.mean
+        may_eject = self._may_eject(profile, loads)
         if self.ejection_state.eject_if_slow(
-            own, others, profile.ejection, now, room=room
+            own_mean, other_means, profile.ejection, now, room=may_eject
         ):
-            log.warning("endpoint ejected", extra={"why": "slow", "seconds": own})
+            log.warning("endpoint ejected", extra={"why": "slow", "seconds": own_mean})
 
     def _record_failure(self, profile: Profile, now: float) -> None:
         """Count a failure; eject the endpoint after too many in a row."""
-        room = self._may_eject(profile, list(self.peer_loads()))
-        if self.ejection_state.fail(profile.ejection, now, room=room):
+        may_eject = self._may_eject(profile, list(self.peer_loads()))
+        if self.ejection_state.fail(profile.ejection, now, room=may_eject):
             log.warning("endpoint ejected", extra={"why": "failures"})
 
     def _may_eject(self, profile: Profile, loads: list[Load]) -> bool:
--- a/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
@@ -22,6 +22,8 @@
 from cornelspan_requests.outcomes import AnswerHead, Failure, failure_head
 
 MAX_HEADER_BYTES = 65536
+# ``Expect`` is end-to-end by RFC 9110, but is not forwarded: tornado answers it with
+# 100 (Continue) while it reads the request.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -112,13 +114,15 @@
         This is logged if the caller is still connected and so gets a partial answer.
         """
         if self.begun and not self.connection.stream.closed():
-            log.warning("answer aborted", extra={"reason": reason})
+            log.warning("connection closed during answer", extra={"reason": reason})
         self.connection.close()
 
     async def send_failure(self, failure: Failure) -> None:
         """Send the agent's own answer, or abort an answer that has begun."""
         if self.begun:
-            self.abort(f"{failure.outcome.value}: {failure.reason.value}")
+            self.abort(
+                f"outcome {failure.outcome.value}, reason {failure.reason.value}"
+            )
             return
         text = f"{failure.outcome}: {failure.reason}\n".encode()
         await self.start(failure_head(failure, length=len(text)))
@@ -181,6 +185,7 @@
         self._resolve(False)
 
     def _resolve(self, complete: bool) -> None:
+        """Resolve ``complete`` unless it already is."""
         if not self.complete.done():
             self.complete.set_result(complete)
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
@@ -95,7 +95,7 @@
         self.streams: set[IOStream] = set()
         self.active = 0
         self.refused_connections = 0
-        self.objectives = ObjectiveCounts()
+        self.objective_counts = ObjectiveCounts()
         endpoint = create_endpoint(
             Admission(settings.slots),
             SlowStart(self.loop.time()),
@@ -214,7 +214,7 @@
         joining = self.tasks.start(self.claims.join(), name="join voters")
         try:
             while True:
-                self._observe_members()
+                self._update_voters()
                 self.dispatcher.endpoint.end_excess_ejection(
                     self.settings.name, self.profile
                 )
@@ -222,7 +222,8 @@
         finally:
             joining.cancel()
 
-    def _observe_members(self) -> None:
+    def _update_voters(self) -> None:
+        """Update the voters on key claims from the current members."""
         members = self.members.of_service(self.settings.service)
         now = self.loop.time()
         self.claims.voters.observe(members, now, self._voter_window())
@@ -254,7 +255,7 @@
                 if failure.reason in CALLER_FAULTS:
                     return
                 succeeded = False
-        self.objectives.record(
+        self.objective_counts.record(
             succeeded=succeeded,
             seconds=self.loop.time() - request.arrived,
             objective=profile.objective,
@@ -281,21 +282,25 @@
         async def serve(request: Request, sink: RecordingSink) -> Result[int, Failure]:
             return await self.dispatcher.serve(request, sink, profile)
 
-        self._observe_members()
+        self._update_voters()
         return await serve_keyed(request, answer, self.claims, serve, self.tasks)
 
     async def _run_for_peer(
         self, request: Request, sink: AnswerSink
     ) -> Result[int, Failure]:
+        """Run a request that another agent handed off to this one."""
         return await self.dispatcher.run_for_peer(request, sink, self.profile)
 
     def _peer_loads(self) -> list[Load]:
+        """Return the last loads of the other endpoints of the service."""
         return [peer.load for peer in self.peers.loads.peers.values()]
 
     def _record_window(self) -> float:
+        """Return the seconds for which the record of a key is kept."""
         return self.profile.requests.claim_seconds
 
     def _voter_window(self) -> float:
+        """Return the seconds for which a missing agent stays a voter."""
         requests = self.profile.requests
         return requests.claim_seconds + requests.deadline_seconds
 
@@ -361,10 +366,12 @@
     """
     own_incarnation = incarnation or time.time_ns() // 1_000_000
     async with task_group() as tasks:
-        state = Gateway(settings, configuration, members, peers, tasks, own_incarnation)
-        tasks.start(state.watch_members(), name="watch members")
+        instance = Gateway(
+            settings, configuration, members, peers, tasks, own_incarnation
+        )
+        tasks.start(instance.watch_members(), name="watch members")
         try:
-            yield state
+            yield instance
         finally:
-            for stream in list(state.streams):
+            for stream in list(instance.streams):
                 stream.close()
--- a/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
@@ -91,6 +91,7 @@
         self._send_part(b"", last=True)
 
     def _send_part(self, part: bytes, *, last: bool) -> bool:
+        """Send a part of the answer; False if the stream is lost."""
         message = AnswerPart(self.start.number, self.sent, part, last)
         self.sent += len(part)
         return self.send(self.sender, message)
@@ -105,13 +106,13 @@
 class _PeerSink:
     """The answer sink of a request that came from another agent."""
 
-    incoming: ReceivedRequest
+    request: ReceivedRequest
 
     async def start(self, head: AnswerHead) -> bool:
-        return await self.incoming.start_answer(head)
+        return await self.request.start_answer(head)
 
     async def write(self, chunk: bytes) -> bool:
-        return await self.incoming.write(chunk)
+        return await self.request.write(chunk)
 
 
 @dataclass
@@ -141,19 +142,19 @@
             sink: Gets the answer as it arrives.
 
         Returns:
-            The status of an answer that was passed on whole, or why there is none.
+            The status once the whole answer was passed on, or why it was not.
         """
         self.number += 1
         number = self.number
-        outgoing = SentRequest(name)
-        self.outgoing[number] = outgoing
+        sent = SentRequest(name)
+        self.outgoing[number] = sent
         finished = False
         try:
             if not await self._send_request(name, number, request):
                 # The receiver runs a request only once it has the last part.
                 return Err(Failure(RequestOutcome.NOT_RUN, Reason.REFUSED))
             async with asyncio.timeout_at(request.deadline + ANSWER_GRACE_SECONDS):
-                result = await self._pass_answer(outgoing, number, sink)
+                result = await self._pass_answer(sent, number, sink)
                 finished = True
                 return result
         except TimeoutError:
@@ -164,29 +165,29 @@
                 self.send_message(name, RequestCancel(number))
 
     def receive(self, sender: str, message: Message) -> None:
-        """Process a message of another agent about a request."""
+        """Process a message about a handed-off request or its answer."""
         match message:
             case RequestStart(number):
-                incoming = ReceivedRequest(message, sender, self.send_message)
-                self.incoming[sender, number] = incoming
+                received = ReceivedRequest(message, sender, self.send_message)
+                self.incoming[sender, number] = received
             case RequestPart(number):
                 self._receive_part(sender, message)
             case RequestCancel(number):
                 self._cancel(sender, number)
             case AnswerTaken(number, size):
-                incoming = self.incoming.get((sender, number))
-                if incoming is not None:
-                    incoming.acknowledge(size)
+                received = self.incoming.get((sender, number))
+                if received is not None:
+                    received.acknowledge(size)
             case AnswerStart(number) | AnswerPart(number) | AnswerFailed(number):
-                outgoing = self.outgoing.get(number)
-                if outgoing is not None and outgoing.name == sender:
-                    outgoing.answer_messages.put_nowait(message)
+                sent = self.outgoing.get(number)
+                if sent is not None and sent.name == sender:
+                    sent.answer_messages.put_nowait(message)
 
     def peer_lost(self, name: str) -> None:
         """Fail what was handed off to an agent, and cancel what it handed off here."""
-        for outgoing in self.outgoing.values():
-            if outgoing.name == name:
-                outgoing.answer_messages.put_nowait(None)
+        for sent in self.outgoing.values():
+            if sent.name == name:
+                sent.answer_messages.put_nowait(None)
         for sender, number in list(self.incoming):
             if sender == name:
                 self._cancel(sender, number)
@@ -217,13 +218,13 @@
         return True
 
     async def _pass_answer(
-        self, outgoing: SentRequest, number: int, sink: AnswerSink
+        self, sent: SentRequest, number: int, sink: AnswerSink
     ) -> Result[int, Failure]:
         """Pass the parts of an answer on to a sink as they arrive."""
-        status = passed = 0
+        status = passed_bytes = 0
         while True:
-            wanted = True
-            match await outgoing.answer_messages.get():
+            caller_waiting = True
+            match await sent.answer_messages.get():
                 case None:
                     return Err(Failure(RequestOutcome.UNKNOWN, Reason.BROKEN))
                 case AnswerFailed(_, outcome, reason, retry_after):
@@ -232,73 +233,81 @@
                     )
                     return Err(failure)
                 case AnswerStart(_, status, reason, headers):
-                    wanted = await sink.start(AnswerHead(status, reason, headers))
-                case AnswerPart(offset=offset) if offset != passed or not status:
+                    caller_waiting = await sink.start(
+                        AnswerHead(status, reason, headers)
+                    )
+                case AnswerPart(offset=offset) if offset != passed_bytes or not status:
                     return Err(Failure(RequestOutcome.UNKNOWN, Reason.BROKEN))
                 case AnswerPart(body=body, last=last):
-                    passed += len(body)
-                    wanted = await sink.write(body)
+                    passed_bytes += len(body)
+                    caller_waiting = await sink.write(body)
                     if last:
                         return Ok(status)
-                    self.send_message(outgoing.name, AnswerTaken(number, len(body)))
-            if not wanted:
-                self.send_message(outgoing.name, RequestCancel(number))
+                    self.send_message(sent.name, AnswerTaken(number, len(body)))
+            if not caller_waiting:
+                self.send_message(sent.name, RequestCancel(number))
                 return Err(Failure(RequestOutcome.UNKNOWN, Reason.CANCELLED))
 
     def _receive_part(self, sender: str, part: RequestPart) -> None:
-        """Add a part of a request's body; run the request once it is complete."""
-        incoming = self.incoming.get((sender, part.number))
-        if incoming is None or incoming.task is not None:
+        """Add a part of a request's body; run the request once it is complete.
+
+        Parts of unknown or started requests are ignored. A request whose body is
+        incomplete, out of order or too long is reported as not run.
+        """
+        received = self.incoming.get((sender, part.number))
+        if received is None or received.task is not None:
             return
-        in_order = part.offset == len(incoming.body)
-        incoming.body += part.body
-        complete = in_order and len(incoming.body) == incoming.start.length
+        in_order = part.offset == len(received.body)
+        received.body += part.body
+        complete = in_order and len(received.body) == received.start.length
         if part.last and complete:
-            work = self._run(incoming)
+            run = self._run(received)
             name = f"request {part.number} of {sender}"
-            incoming.task = self.tasks.start(work, name=name)
-        elif part.last or not in_order or len(incoming.body) > incoming.start.length:
-            # A part was lost with a stream. Without it this would be another request.
+            received.task = self.tasks.start(run, name=name)
+        elif part.last or not in_order or len(received.body) > received.start.length:
+            # The body is incomplete or too long, e.g. because a stream was lost between
+            # two parts. Running it would run another request than the one sent.
             del self.incoming[sender, part.number]
-            self._fail(incoming, Failure(RequestOutcome.NOT_RUN, Reason.BROKEN))
+            self._fail(received, Failure(RequestOutcome.NOT_RUN, Reason.BROKEN))
 
-    async def _run(self, incoming: ReceivedRequest) -> None:
+    async def _run(self, received: ReceivedRequest) -> None:
         """Run a request of another agent, and send its answer back."""
         try:
-            result = await self.run(_request_from(incoming), _PeerSink(incoming))
+            result = await self.run(_request_from(received), _PeerSink(received))
             match result:
                 case Ok(_):
-                    incoming.end_answer()
+                    received.end_answer()
                 case Err(failure):
-                    self._fail(incoming, failure)
+                    self._fail(received, failure)
         finally:
-            self.incoming.pop((incoming.sender, incoming.start.number), None)
+            self.incoming.pop((received.sender, received.start.number), None)
 
-    def _fail(self, incoming: ReceivedRequest, failure: Failure) -> None:
+    def _fail(self, received: ReceivedRequest, failure: Failure) -> None:
         """Report to the sender that its request got no answer."""
         message = AnswerFailed(
-            incoming.start.number,
+            received.start.number,
             failure.outcome.value,
             failure.reason.value,
             failure.retry_after,
         )
-        self.send_message(incoming.sender, message)
+        self.send_message(received.sender, message)
 
     def _cancel(self, sender: str, number: int) -> None:
         """Cancel a request of another agent."""
-        incoming = self.incoming.pop((sender, number), None)
-        if incoming is not None and incoming.task is not None:
-            incoming.task.cancel()
+        received = self.incoming.pop((sender, number), None)
+        if received is not None and received.task is not None:
+            received.task.cancel()
 
 
-def _request_from(incoming: ReceivedRequest) -> Request:
+def _request_from(received: ReceivedRequest) -> Request:
+    """Return the request to run, with its deadline on the local clock."""
     now = asyncio.get_running_loop().time()
-    start = incoming.start
+    start = received.start
     return Request(
         start.method,
         start.target,
         start.headers,
-        bytes(incoming.body),
+        bytes(received.body),
         start.caller,
         now,
         now + start.milliseconds / 1000,
--- a/packages/cornelspan-requests/src/cornelspan_requests/keys.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/keys.py
@@ -89,8 +89,8 @@
         self._drop_expired(now)
         known = self.find(claim.key, now)
         if known is not None:
-            same = known.token == claim.token
-            return (Vote.RECORDED, None) if same else (Vote.KNOWN, known)
+            same_claim = known.token == claim.token
+            return (Vote.RECORDED, None) if same_claim else (Vote.KNOWN, known)
         if len(self.records) >= MAX_RECORDS:
             # Dropping another record to make room could let its request run twice.
             self.refused += 1
@@ -118,8 +118,8 @@
         finish, so the other one was not granted.
         """
         stored = self.records.get(record.key)
-        same = stored is not None and stored.record.token == record.token
-        if same and stored.record.answer is not None and record.answer is None:
+        same_claim = stored is not None and stored.record.token == record.token
+        if same_claim and stored.record.answer is not None and record.answer is None:
             return
         self.records[record.key] = StoredRecord(record, now + record.seconds)
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/objectives.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/objectives.py
@@ -90,15 +90,18 @@
         )
 
     def _drop_old_minutes(self) -> None:
+        """Delete minutes that are too old to be sent again."""
         oldest = self._minute() - KEPT_MINUTES
         for number in [number for number in self.minutes if number <= oldest]:
             del self.minutes[number]
             self.lost_minutes += 1
 
     def _minute(self) -> int:
+        """Return the current minute, counted since the epoch."""
         return int(self.clock()) // MINUTE_SECONDS
 
     def _record_latency(self, seconds: float) -> None:
+        """Add a latency to the histogram; begin a new one every hour."""
         if self.clock() - self.histogram_started > HISTOGRAM_SECONDS:
             self.latencies = _new_histogram()
             self.histogram_started = self.clock()
--- a/packages/cornelspan-requests/src/cornelspan_requests/queue.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/queue.py
@@ -89,6 +89,7 @@
         return ticket
 
     def _uncount(self, ticket: Ticket) -> None:
+        """Subtract a removed ticket from the counts."""
         self.queued_bytes -= ticket.size
         self.priorities[ticket.priority] -= 1
         self.callers[ticket.caller] -= 1
--- a/packages/cornelspan-requests/src/cornelspan_requests/reporting.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/reporting.py
@@ -11,16 +11,21 @@
 
 
 async def report_counts(
-    counts: ObjectiveCounts, settings: AgentSettings, plane: Plane
+    counts: ObjectiveCounts, settings: AgentSettings, control_plane: Plane
 ) -> None:
-    """Report at jittered intervals until cancelled, and delete sealed minutes."""
-    plane.on_sealed = counts.seal
+    """Report the counts at jittered intervals until cancelled.
+
+    Minutes that the store has are deleted as soon as the relay balancer confirms them.
+    """
+    control_plane.on_sealed = counts.seal
     while True:
         await asyncio.sleep(REPORT_SECONDS * random.uniform(0.8, 1.2))
-        plane.tell_relays(counts.message(settings.name, settings.service))
+        control_plane.tell_relays(counts.message(settings.name, settings.service))
 
 
-def report_last(counts: ObjectiveCounts, settings: AgentSettings, plane: Plane) -> None:
+def report_last(
+    counts: ObjectiveCounts, settings: AgentSettings, control_plane: Plane
+) -> None:
     """Send the last report, after which this process counts nothing more."""
     last = counts.message(settings.name, settings.service, last=True)
-    plane.tell_relays(last)
+    control_plane.tell_relays(last)
--- a/packages/cornelspan-requests/src/cornelspan_requests/retries.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/retries.py
@@ -27,14 +27,15 @@
 ) -> float:
     """Return the seconds before a retry: exponential backoff with full jitter.
 
+    Without jitter, requests that failed together would be retried together.
+
     Args:
-        attempt: 1 before the first retry.
+        attempt: The number of the retry, from 1.
         policy: Base and limit of the pause.
-        random_fraction: Returns a random number in [0, 1). Without jitter, requests
-            that failed together would be retried together.
+        random_fraction: Returns a random number in [0, 1).
     """
-    max_pause = policy.backoff_seconds * 2 ** (attempt - 1)
-    return min(policy.backoff_limit_seconds, max_pause) * random_fraction()
+    uncapped = policy.backoff_seconds * 2 ** (attempt - 1)
+    return min(policy.backoff_limit_seconds, uncapped) * random_fraction()
 
 
 @dataclass
--- a/packages/cornelspan-requests/src/cornelspan_requests/service_times.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/service_times.py
@@ -19,7 +19,12 @@
     count: int = 0
 
     def record(self, seconds: float) -> None:
-        """Add one sample; the first ones weigh as in a plain mean."""
+        """Add one sample.
+
+        The first ``1 / SAMPLE_WEIGHT`` samples have equal weight in the mean, as in an
+        ordinary mean. The deviation of a sample is taken from the mean before it, for
+        the first sample from ``INITIAL_MEAN_SECONDS``.
+        """
         self.count += 1
         weight = max(SAMPLE_WEIGHT, 1 / self.count)
         self.deviation += weight * (abs(seconds - self.mean) - self.deviation)
--- a/packages/cornelspan-requests/src/cornelspan_requests/slow_start.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/slow_start.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-MIN_SHARE = 0.1
+MIN_LOAD_FRACTION = 0.1
 
 
 @dataclass
@@ -15,8 +15,10 @@
         """Begin slow start again, e.g. after an ejection."""
         self.started = now
 
-    def share(self, now: float, seconds: float) -> float:
-        """Return the share of the full load to take now, rising linearly to 1.
+    def load_fraction(self, now: float, seconds: float) -> float:
+        """Return the fraction of the full load to take now.
+
+        It rises linearly to 1 and is at least ``MIN_LOAD_FRACTION``.
 
         Args:
             now: The time.
@@ -24,8 +26,8 @@
         """
         if seconds <= 0:
             return 1.0
-        return min(1.0, max(MIN_SHARE, (now - self.started) / seconds))
+        return min(1.0, max(MIN_LOAD_FRACTION, (now - self.started) / seconds))
 
     def slots(self, now: float, seconds: float, slots: int) -> int:
         """Return how many slots may be used now, at least one."""
-        return max(1, int(slots * self.share(now, seconds)))
+        return max(1, int(slots * self.load_fraction(now, seconds)))
--- a/packages/cornelspan-requests/src/cornelspan_requests/voters.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/voters.py
@@ -19,12 +19,12 @@
 class Voter:
     """An agent whose vote counts.
 
-    ``incarnation`` is 0 if only other agents have named it so far. ``lost_at`` is when
-    it was first missing from the members, None while it is present.
+    ``incarnation`` is 0 if only other agents have named it so far. ``missing_since`` is
+    when it was first missing from the members, None while it is present.
     """
 
     incarnation: int
-    lost_at: float | None = None
+    missing_since: float | None = None
 
 
 def majority(count: int) -> int:
@@ -79,14 +79,14 @@
         Args:
             members: The agents of the service.
             now: The time.
-            window: Seconds for which a lost agent stays a voter.
+            window: Seconds for which a missing agent stays a voter.
         """
         present = {member.name: member.incarnation for member in members}
         for name, incarnation in present.items():
             self.add_voter(name, incarnation)
         for name in list(self.by_name):
             if name != self.name and name not in present:
-                self._mark_missing(name, now, window)
+                self._update_missing(name, now, window)
 
     def add_voter(self, name: str, incarnation: int) -> None:
         """Add an agent or note its restart, after which it may lack records."""
@@ -107,7 +107,7 @@
             self.restart_seen = self.restart_seen or voter.incarnation > 0
             self.by_name[name] = Voter(incarnation)
         elif incarnation == voter.incarnation:
-            voter.lost_at = None
+            voter.missing_since = None
 
     def remove_voter(self, name: str, incarnation: int) -> None:
         """Remove an agent that has left and has sent its records to the others."""
@@ -147,7 +147,7 @@
 
         - It has the records of a read quorum of agents that may vote, so that it knows
           every claim that was granted before.
-        - It has the records of all voters, none of them is lost, and no restart is
+        - It has the records of all voters, none of them is missing, and no restart is
           known, so that no records are lost.
         - It has run for the whole window, so that all earlier claims have expired.
 
@@ -163,17 +163,19 @@
         others = self.names() - {self.name}
         synced_count = len(self.synced_ready & others)
         has_quorum = bool(others) and synced_count >= read_quorum(len(self.by_name))
-        any_lost = any(voter.lost_at is not None for voter in self.by_name.values())
+        any_missing = any(
+            voter.missing_since is not None for voter in self.by_name.values()
+        )
         all_synced = others <= self.synced_unready | self.synced_ready
-        complete = all_synced and not self.restart_seen and not any_lost
+        complete = all_synced and not self.restart_seen and not any_missing
         if has_quorum or complete or now - self.started >= window:
             self.ready = True
         return self.ready
 
-    def _mark_missing(self, name: str, now: float, window: float) -> None:
-        """Note that an agent is missing; remove it once it was for the window."""
+    def _update_missing(self, name: str, now: float, window: float) -> None:
+        """Note that a voter is missing; remove it after the whole window."""
         voter = self.by_name[name]
-        if voter.lost_at is None:
-            voter.lost_at = now
-        elif now - voter.lost_at >= window:
+        if voter.missing_since is None:
+            voter.missing_since = now
+        elif now - voter.missing_since >= window:
             del self.by_name[name]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -142,7 +142,7 @@
         caller = Caller(gateway)
         status, headers, _ = await caller.ask(body=b"x" * 150)
         assert (status, headers["cornelspan-outcome"]) == (413, "not-run")
-        assert gateway.objectives.bad == 0
+        assert gateway.objective_counts.bad == 0
         await caller.close()
 
 
