--- a/packages/cornelspan-ownership/src/cornelspan_ownership/directory.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/directory.py
@@ -9,21 +9,21 @@
 
 from cornelspan_common.expiring import LIMIT, Expiring
 
-ENDED_SECONDS = 15.0
+ENDED_FLOW_SECONDS = 15.0
 
 
 @dataclass(frozen=True, slots=True)
-class Holder:
+class AgentId:
     """One life of an agent."""
 
     name: str
     incarnation: int
 
 
-class Records(Expiring[Holder]):
+class FlowAgents(Expiring[AgentId]):
     """Flow to its holder, one life of an agent."""
 
-    def drop_holder(self, name: str, before: int) -> list[int]:
+    def drop_agent(self, name: str, before: int) -> list[int]:
         """Forget all flows of the lives of an agent up to an incarnation.
 
         Returns:
@@ -49,17 +49,17 @@
     """
 
     def __init__(self, *, idle_seconds: float, limit: int = LIMIT) -> None:
-        self.owners = Records(idle_seconds=idle_seconds, limit=limit)
-        self.homes = Records(idle_seconds=idle_seconds, limit=limit)
-        self.ended = Records(idle_seconds=ENDED_SECONDS, limit=limit)
+        self.owners = FlowAgents(idle_seconds=idle_seconds, limit=limit)
+        self.homes = FlowAgents(idle_seconds=idle_seconds, limit=limit)
+        self.ended = FlowAgents(idle_seconds=ENDED_FLOW_SECONDS, limit=limit)
 
-    def end(self, flow: int, owner: Holder, now: float) -> None:
+    def end_flow(self, flow: int, owner: AgentId, now: float) -> None:
         """Note a flow's end."""
         self.owners.drop(flow)
         self.homes.drop(flow)
         self.ended.put(flow, owner, now)
 
-    def gone(self, name: str, incarnation: int) -> list[int]:
+    def remove_agent(self, name: str, incarnation: int) -> list[int]:
         """Forget an agent that is gone, as owner and as home.
 
         A recorded home that is dead must not hold a flow for ever: the next open of it
@@ -68,8 +68,8 @@
         Returns:
             The flows that it owned.
         """
-        self.homes.drop_holder(name, incarnation)
-        return self.owners.drop_holder(name, incarnation)
+        self.homes.drop_agent(name, incarnation)
+        return self.owners.drop_agent(name, incarnation)
 
     def expire(self, now: float) -> int:
         """Forget what is idle; return how many owners and homes they were."""
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/group.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/group.py
@@ -8,12 +8,12 @@
 
 from cornelspan_common.ownership import Claim, ClaimAnswer, Handoff, HandoffAnswer
 from cornelspan_common.packets import Packet
-from cornelspan_ownership.directory import Holder
+from cornelspan_ownership.directory import AgentId
 from cornelspan_ownership.placement import OwnLoad
 
 
 @dataclass(frozen=True, slots=True)
-class AskError:
+class CallError:
     """A peer that did not answer; ``gone`` if it is known to be no more."""
 
     name: str
@@ -50,8 +50,8 @@
 
 Opened = At | PassOn | Wait | Refused
 Answer = ClaimAnswer | HandoffAnswer
-Answered = Result[Answer, AskError]
-Ask = Callable[[Sequence[str], Claim | Handoff], Awaitable[list[Answered]]]
+AnswerResult = Result[Answer, CallError]
+CallPeers = Callable[[Sequence[str], Claim | Handoff], Awaitable[list[AnswerResult]]]
 
 
 class Group(Protocol):
@@ -60,7 +60,7 @@
     def ranked(self, flow: int) -> tuple[str, ...]:
         """Return the candidates by this agent's own view."""
 
-    def life(self, name: str) -> Holder | None:
+    def life(self, name: str) -> AgentId | None:
         """Return the life of a peer that is there now, None if it isn't known."""
 
     def is_gone(self, name: str, incarnation: int) -> bool:
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
@@ -22,12 +22,12 @@
 
 from cornelspan_common.ownership import Claim, ClaimAnswer, Handoff, HandoffAnswer
 from cornelspan_common.packets import Packet
-from cornelspan_ownership.directory import Directory, Holder, Records
+from cornelspan_ownership.directory import AgentId, Directory, FlowAgents
 from cornelspan_ownership.group import (
-    Answered,
-    Ask,
-    AskError,
+    AnswerResult,
     At,
+    CallError,
+    CallPeers,
     Group,
     Local,
     Opened,
@@ -80,30 +80,34 @@
     flow, so nobody else is asked until they answer or are gone.
     """
 
-    me: Holder
+    agent_id: AgentId
     service: str
     group: Group
     local: Local
-    ask: Ask
+    call_peers: CallPeers
     clock: Callable[[], float]
     directory: Directory
     loads: Loads = field(default_factory=Loads)
     pending: dict[int, Pending] = field(default_factory=dict)
     strange_since: dict[str, float] = field(default_factory=dict)
-    questions: int = 0
+    last_call_id: int = 0
     counts: OwnershipCounts = field(default_factory=OwnershipCounts)
-    unsure: Records = field(
-        default_factory=lambda: Records(idle_seconds=UNSURE_SECONDS)
+    unsure: FlowAgents = field(
+        default_factory=lambda: FlowAgents(idle_seconds=UNSURE_SECONDS)
     )
 
     def locate(self, flow: int) -> Opened | None:
         """Return what is known here of a flow, None if nothing."""
         if self.local.owns(flow):
-            return At(self.me.name)
+            return At(self.agent_id.name)
         now = self.clock()
         ended = self.directory.ended.get(flow, now)
         if ended is not None:
-            return Wait("flow has ended") if ended.name in ("", self.me.name) else LOST
+            return (
+                Wait("flow has ended")
+                if ended.name in ("", self.agent_id.name)
+                else LOST
+            )
         owner = self.directory.owners.get(flow, now)
         if owner is not None:
             return At(owner.name)
@@ -160,7 +164,7 @@
         """
         home = self.directory.homes.get(flow, self.clock())
         self.directory.homes.drop(flow)
-        return (*listed, home.name if home else self.me.name)
+        return (*listed, home.name if home else self.agent_id.name)
 
     def _must_claim(self, flow: int, listed: Sequence[str]) -> bool:
         """Whether another agent may take itself for the home of this flow.
@@ -172,7 +176,7 @@
         if self.unsure.get(flow, self.clock()) is not None:
             return False
         ranked = self.group.ranked(flow)
-        first = bool(ranked) and ranked[0] == self.me.name
+        first = bool(ranked) and ranked[0] == self.agent_id.name
         return not (first and tuple(listed) == ranked and self.group.is_settled())
 
     async def _claim(self, flow: int, names: list[str]) -> Opened | None:
@@ -186,7 +190,7 @@
         asked: set[str] = set()
         asking = [name for name in names if self.group.life(name)]
         while asking:
-            answers = await self.ask(asking, self._claim_message(flow))
+            answers = await self.call_peers(asking, self._claim_message(flow))
             asked.update(asking)
             match self._weigh(flow, asking, answers):
                 case Ok(pointers):
@@ -213,7 +217,7 @@
         ]
 
     def _weigh(
-        self, flow: int, asked: Sequence[str], answers: list[Answered]
+        self, flow: int, asked: Sequence[str], answers: list[AnswerResult]
     ) -> Result[list[str], Opened]:
         """Read answers to a claim.
 
@@ -234,21 +238,21 @@
                     if self.group.life(home) is None:
                         return Err(PassOn(name))
                     pointers.append(home)
-                case Err(AskError(gone=False)):
+                case Err(CallError(gone=False)):
                     silent = Wait(f"no answer from {name}")
         return Err(silent) if silent is not None else Ok(pointers)
 
     def _owned_by(self, flow: int, answer: ClaimAnswer) -> Opened:
         if self.group.is_gone(answer.owner, answer.owner_incarnation):
             return LOST
-        owner = Holder(answer.owner, answer.owner_incarnation)
-        if owner == self.me:
+        owner = AgentId(answer.owner, answer.owner_incarnation)
+        if owner == self.agent_id:
             return self.locate(flow) or Wait("flow has ended")
         self.directory.owners.put(flow, owner, self.clock())
         return At(owner.name)
 
     def _home_is(self, flow: int, answer: ClaimAnswer) -> Opened:
-        home = Holder(answer.home, answer.home_incarnation)
+        home = AgentId(answer.home, answer.home_incarnation)
         self.directory.homes.put(flow, home, self.clock())
         self.counts.yielded += 1
         return PassOn(home.name)
@@ -256,7 +260,7 @@
     def _others(self, flow: int, listed: Sequence[str]) -> list[str]:
         """Return the candidates of both views but this agent and those gone."""
         names = dict.fromkeys([*listed, *self.group.ranked(flow)])
-        names.pop(self.me.name, None)
+        names.pop(self.agent_id.name, None)
         return [name for name in names if not self._is_over(name, 0)]
 
     def _is_over(self, name: str, incarnation: int) -> bool:
@@ -278,7 +282,7 @@
             if target == "":
                 self.counts.kept += 1
                 self.local.open(packet)
-                return At(self.me.name)
+                return At(self.agent_id.name)
             pending.target = target
             match await self._hand_off(packet, target, tries, yielded):
                 case Ok(HandoffAnswer(accepted=True)):
@@ -293,7 +297,7 @@
                     tries -= 1
                     if load.slots == 0 or tries < 0:
                         lost.add(target)
-                case Err(AskError(gone=True)):
+                case Err(CallError(gone=True)):
                     lost.add(target)
                 case Err():
                     return Wait(f"no answer from {target}")
@@ -320,29 +324,29 @@
         peers = [
             name
             for name in self.group.ranked(flow)
-            if name != self.me.name and name not in lost and self.group.life(name)
+            if name != self.agent_id.name and name not in lost and self.group.life(name)
         ]
         ordered = choose(self.local.load(), self.loads, peers)
         return ordered[0] if ordered else None
 
     async def _hand_off(
         self, packet: Packet, target: str, tries: int, yielded: str
-    ) -> Answered:
+    ) -> AnswerResult:
         """Ask a peer to own the flow; without an answer it stays the one to ask."""
         flow = packet.flow
         again = self.unsure.get(flow, self.clock()) is not None
         limit = NO_LIMIT if again else busy_limit(self.loads, target, tries)
-        life = self.group.life(target) or Holder(target, 0)
+        life = self.group.life(target) or AgentId(target, 0)
         self.unsure.put(flow, life, self.clock())
         self.loads.sent(target)
         message = self._handoff_message(packet, limit, yielded)
-        [answer] = await self.ask([target], message)
+        [answer] = await self.call_peers([target], message)
         self.loads.answered(target)
         match answer:
             case Ok(HandoffAnswer(load=load)):
                 self.loads.update(load)
                 self.unsure.drop(flow)
-            case Err(AskError(gone=True)):
+            case Err(CallError(gone=True)):
                 self.unsure.drop(flow)
         return answer
 
@@ -361,20 +365,24 @@
         return await self._claim(flow, [home])
 
     def _claim_message(self, flow: int) -> Claim:
-        self.questions += 1
-        me = self.me
-        return Claim(self.service, flow, me.name, me.incarnation, self.questions)
+        self.last_call_id += 1
+        agent_id = self.agent_id
+        return Claim(
+            self.service, flow, agent_id.name, agent_id.incarnation, self.last_call_id
+        )
 
     def _handoff_message(self, packet: Packet, limit: int, yielded: str) -> Handoff:
-        self.questions += 1
-        me = self.me
-        load = load_message(self.service, me.name, me.incarnation, self.local.load())
+        self.last_call_id += 1
+        agent_id = self.agent_id
+        load = load_message(
+            self.service, agent_id.name, agent_id.incarnation, self.local.load()
+        )
         return Handoff(
             self.service,
             packet,
-            me.name,
-            me.incarnation,
-            self.questions,
+            agent_id.name,
+            agent_id.incarnation,
+            self.last_call_id,
             yielded,
             limit,
             load,
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
@@ -10,11 +10,11 @@
 from cornelspan_common.packets import Message
 from cornelspan_control.members import Members
 from cornelspan_control.ranking import Ranking
-from cornelspan_ownership.directory import Holder
-from cornelspan_ownership.group import Answer, Answered, AskError
+from cornelspan_ownership.directory import AgentId
+from cornelspan_ownership.group import Answer, AnswerResult, CallError
 
 SETTLE_SECONDS = 15.0
-ASK_SECONDS = 0.5
+CALL_TIMEOUT_SECONDS = 0.5
 
 
 class ServiceGroup:
@@ -26,14 +26,14 @@
 
     def __init__(
         self,
-        me: Holder,
+        agent_id: AgentId,
         service: str,
         members: Members,
         clock: Callable[[], float],
         *,
         settle_seconds: float = SETTLE_SECONDS,
     ) -> None:
-        self.me = me
+        self.agent_id = agent_id
         self.service = service
         self.members = members
         self.clock = clock
@@ -48,17 +48,17 @@
         """Return the candidates by this agent's own view."""
         return self.ranking.candidates(self.service, flow).names
 
-    def life(self, name: str) -> Holder | None:
+    def life(self, name: str) -> AgentId | None:
         """Return the newest life known of a peer, None if it isn't known."""
         known = self.members.known.get(name)
         announced = known.incarnation if known and known.service == self.service else 0
         life = max(announced, self.met.get(name, 0))
-        return Holder(name, life) if life else None
+        return AgentId(name, life) if life else None
 
     def is_gone(self, name: str, incarnation: int) -> bool:
         """Whether a life has ended; with 0, whether any life of that name has."""
-        if name == self.me.name:
-            return incarnation < self.me.incarnation
+        if name == self.agent_id.name:
+            return incarnation < self.agent_id.incarnation
         if self.members.gone.get(name, -1) >= incarnation:
             return True
         life = self.life(name)
@@ -79,13 +79,13 @@
     def meet(self, name: str, incarnation: int) -> None:
         """Note a peer that speaks to us; it may not have been announced yet."""
         life = self.life(name)
-        if self.is_gone(name, incarnation) or name == self.me.name:
+        if self.is_gone(name, incarnation) or name == self.agent_id.name:
             return
         if life is None or life.incarnation < incarnation:
             self.met[name] = incarnation
             self.changed_at = self.clock()
 
-    def refresh(self) -> list[Holder]:
+    def refresh(self) -> list[AgentId]:
         """Look at the members anew; return the lives that have ended since."""
         if self.version == self.members.version and not self.met:
             return []
@@ -94,49 +94,49 @@
         agents = self.members.of_service(self.service)
         names = {agent.name for agent in agents} | set(self.met)
         lives = {name: self.life(name).incarnation for name in names}
-        ended = [Holder(n, i) for n, i in self.lives.items() if lives.get(n) != i]
+        ended = [AgentId(n, i) for n, i in self.lives.items() if lives.get(n) != i]
         if lives != self.lives:
             self.changed_at = self.clock()
         self.lives = lives
         return ended
 
 
-class Questions:
+class PeerCalls:
     """Questions to peers that wait for an answer."""
 
     def __init__(self, send: Callable[[str, Message], bool]) -> None:
         self.send = send
-        self.waiting: dict[tuple[str, int], asyncio.Future[Answered]] = {}
+        self.pending: dict[tuple[str, int], asyncio.Future[AnswerResult]] = {}
 
-    async def ask(
+    async def call(
         self, names: Sequence[str], message: Claim | Handoff
-    ) -> list[Answered]:
-        """Ask peers at the same time; one that is silent costs ``ASK_SECONDS``."""
+    ) -> list[AnswerResult]:
+        """Ask peers at the same time; one that is silent costs ``CALL_TIMEOUT_SECONDS``."""
         keys = [(name, message.question) for name in names]
         loop = asyncio.get_running_loop()
         futures = [loop.create_future() for _ in keys]
-        self.waiting.update(zip(keys, futures, strict=True))
+        self.pending.update(zip(keys, futures, strict=True))
         for name, future in zip(names, futures, strict=True):
             if not self.send(name, message):
-                future.set_result(Err(AskError(name, gone=False)))
+                future.set_result(Err(CallError(name, gone=False)))
         try:
-            await asyncio.wait(futures, timeout=ASK_SECONDS)
+            await asyncio.wait(futures, timeout=CALL_TIMEOUT_SECONDS)
         finally:
             for key in keys:
-                self.waiting.pop(key, None)
+                self.pending.pop(key, None)
         return [
-            future.result() if future.done() else Err(AskError(name, gone=False))
+            future.result() if future.done() else Err(CallError(name, gone=False))
             for name, future in zip(names, futures, strict=True)
         ]
 
-    def answered(self, name: str, answer: Answer) -> None:
+    def handle_answer(self, name: str, answer: Answer) -> None:
         """Take in a peer's answer; one that comes too late is left out."""
-        future = self.waiting.get((name, answer.question))
+        future = self.pending.get((name, answer.question))
         if future is not None and not future.done():
             future.set_result(Ok(answer))
 
-    def lost(self, name: str) -> None:
+    def fail_calls_to(self, name: str) -> None:
         """End all questions to a peer that is gone."""
-        for (asked, _), future in list(self.waiting.items()):
-            if asked == name and not future.done():
-                future.set_result(Err(AskError(name, gone=True)))
+        for (callee, _), future in list(self.pending.items()):
+            if callee == name and not future.done():
+                future.set_result(Err(CallError(name, gone=True)))
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/promises.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/promises.py
@@ -7,7 +7,7 @@
     HandoffAnswer,
     Owner,
 )
-from cornelspan_ownership.directory import Holder
+from cornelspan_ownership.directory import AgentId
 from cornelspan_ownership.ownership import Ownership
 from cornelspan_ownership.placement import load_message, takes
 
@@ -35,7 +35,7 @@
     flow = handoff.packet.flow
     if state.local.owns(flow):
         return _handoff_answer(state, handoff, True, None)
-    asker = Holder(handoff.home, handoff.incarnation)
+    asker = AgentId(handoff.home, handoff.incarnation)
     against = _other_home(state, flow, asker, handoff.yielded)
     if against is not None:
         return _handoff_answer(state, handoff, False, against)
@@ -48,15 +48,15 @@
 
 def take_owner(state: Ownership, told: Owner) -> None:
     """Take in a directory entry, or a flow's end."""
-    holder = Holder(told.owner, told.incarnation)
+    agent = AgentId(told.owner, told.incarnation)
     if not told.owner:
-        state.directory.end(told.flow, holder, state.clock())
+        state.directory.end_flow(told.flow, agent, state.clock())
         return
     if state.group.is_gone(told.owner, told.incarnation):
         return
     state.directory.ended.drop(told.flow)
     if not state.local.owns(told.flow):
-        state.directory.owners.put(told.flow, holder, state.clock())
+        state.directory.owners.put(told.flow, agent, state.clock())
 
 
 def peer_gone(state: Ownership, name: str, incarnation: int) -> None:
@@ -67,8 +67,8 @@
     """
     state.loads.forget(name)
     now = state.clock()
-    for flow in state.directory.gone(name, incarnation):
-        state.directory.ended.put(flow, Holder(name, incarnation), now)
+    for flow in state.directory.remove_agent(name, incarnation):
+        state.directory.ended.put(flow, AgentId(name, incarnation), now)
 
 
 def _is_peer(state: Ownership, asked: Claim | Handoff) -> bool:
@@ -81,17 +81,17 @@
     return same and not state.group.is_gone(asked.home, asked.incarnation)
 
 
-def _promise(state: Ownership, claim: Claim) -> tuple[Holder | None, Holder | None]:
+def _promise(state: Ownership, claim: Claim) -> tuple[AgentId | None, AgentId | None]:
     """Return owner and home as known here; without either the claim is recorded."""
     flow, now = claim.flow, state.clock()
     if state.local.owns(flow):
-        return state.me, None
+        return state.agent_id, None
     owner = state.directory.owners.get(flow, now)
     if owner is not None:
         return owner, None
-    asker = Holder(claim.home, claim.incarnation)
+    asker = AgentId(claim.home, claim.incarnation)
     if _holds_against(state, flow, asker):
-        return None, state.me
+        return None, state.agent_id
     recorded = state.directory.homes.get(flow, now)
     if recorded is not None and recorded.name != asker.name:
         return None, recorded
@@ -99,7 +99,7 @@
     return None, None
 
 
-def _holds_against(state: Ownership, flow: int, asker: Holder) -> bool:
+def _holds_against(state: Ownership, flow: int, asker: AgentId) -> bool:
     """Whether this agent goes on as home; if not, its own claim has ended."""
     now = state.clock()
     if state.unsure.get(flow, now) or state.directory.ended.get(flow, now):
@@ -107,12 +107,14 @@
     pending = state.pending.get(flow)
     if pending is None:
         return False
-    return pending.placing or state.group.outranks(flow, state.me.name, asker.name)
+    return pending.placing or state.group.outranks(
+        flow, state.agent_id.name, asker.name
+    )
 
 
 def _other_home(
-    state: Ownership, flow: int, asker: Holder, yielded: str
-) -> Holder | None:
+    state: Ownership, flow: int, asker: AgentId, yielded: str
+) -> AgentId | None:
     """Return who has a better right to the flow than the asker, if anyone.
 
     A home may have died just after it sent a hand-off. The next one asked here before
@@ -122,10 +124,10 @@
     now = state.clock()
     pending = state.pending.get(flow)
     if state.unsure.get(flow, now) or (pending and pending.placing):
-        return state.me
+        return state.agent_id
     known = state.directory
     if known.owners.get(flow, now) or known.ended.get(flow, now):
-        return state.me
+        return state.agent_id
     recorded = known.homes.get(flow, now)
     if recorded is None or recorded.name in (asker.name, yielded):
         return None
@@ -133,14 +135,16 @@
 
 
 def _handoff_answer(
-    state: Ownership, handoff: Handoff, accepted: bool, home: Holder | None
+    state: Ownership, handoff: Handoff, accepted: bool, home: AgentId | None
 ) -> HandoffAnswer:
-    me = state.me
+    agent_id = state.agent_id
     return HandoffAnswer(
         handoff.packet.flow,
         handoff.question,
         accepted,
         home.name if home else "",
         home.incarnation if home else 0,
-        load_message(state.service, me.name, me.incarnation, state.local.load()),
+        load_message(
+            state.service, agent_id.name, agent_id.incarnation, state.local.load()
+        ),
     )
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
@@ -21,13 +21,13 @@
 from cornelspan_control.configuration import Configuration
 from cornelspan_control.members import Members
 from cornelspan_ownership import promises
-from cornelspan_ownership.directory import Directory, Holder
+from cornelspan_ownership.directory import AgentId, Directory
 from cornelspan_ownership.flows import Flows
 from cornelspan_ownership.group import At, PassOn, Refused, Wait
 from cornelspan_ownership.loadnews import LoadNews, SilentFlows
 from cornelspan_ownership.localflows import LocalFlows, RoutingCounts
 from cornelspan_ownership.ownership import OPEN_HOPS, Ownership
-from cornelspan_ownership.peers import Questions, ServiceGroup
+from cornelspan_ownership.peers import PeerCalls, ServiceGroup
 from cornelspan_ownership.placement import OwnLoad, load_message
 
 IDLE_SECONDS = 600.0
@@ -58,7 +58,7 @@
         tasks: Tasks,
     ) -> None:
         self.name = settings.name
-        self.me = Holder(settings.name, incarnation)
+        self.agent_id = AgentId(settings.name, incarnation)
         self.settings = settings
         self.configuration = configuration
         self.flows = flows
@@ -67,21 +67,21 @@
         self.counts = RoutingCounts()
         self.leaving = False
         self.retired = False
-        self.doubted: list[tuple[float, Holder]] = []
+        self.doubted: list[tuple[float, AgentId]] = []
         self.inbound: dict[str, Peer] = {}
         self.homes: dict[int, str] = {}
         self.silent = SilentFlows()
         self.measure: Callable[[], OwnLoad] = self.flow_load
         clock = asyncio.get_running_loop().time
         self.clock = clock
-        self.group = ServiceGroup(self.me, settings.service, members, clock)
-        self.questions = Questions(self.send)
+        self.group = ServiceGroup(self.agent_id, settings.service, members, clock)
+        self.calls = PeerCalls(self.send)
         self.ownership = Ownership(
-            self.me,
+            self.agent_id,
             settings.service,
             self.group,
             LocalFlows(flows, self.load),
-            self.questions.ask,
+            self.calls.call,
             clock,
             Directory(idle_seconds=IDLE_SECONDS),
         )
@@ -106,10 +106,14 @@
 
     def load_message(self) -> Load:
         """Return what peers are told of the load."""
-        me = self.me
+        agent_id = self.agent_id
         load = self.load()
         return load_message(
-            self.settings.service, me.name, me.incarnation, load, len(self.flows.owned)
+            self.settings.service,
+            agent_id.name,
+            agent_id.incarnation,
+            load,
+            len(self.flows.owned),
         )
 
     def send(self, name: str, message: Message) -> bool:
@@ -146,7 +150,7 @@
                 self._meet(peer, message)
                 self._take_over(peer, message)
             case ClaimAnswer() | HandoffAnswer():
-                self.questions.answered(peer.name, message)
+                self.calls.handle_answer(peer.name, message)
             case Owner():
                 promises.take_owner(self.ownership, message)
             case _:
@@ -306,9 +310,9 @@
     def _ended(self, flow: int) -> None:
         """Tell a flow's home that it is over."""
         home = self.homes.pop(flow, "")
-        self.ownership.directory.end(flow, self.me, self.clock())
+        self.ownership.directory.end_flow(flow, self.agent_id, self.clock())
         if home:
-            self.send(home, Owner(flow, "", self.me.incarnation))
+            self.send(home, Owner(flow, "", self.agent_id.incarnation))
 
     async def watch(self) -> None:
         """Note who is gone, and tell the peers of the load, as long as it runs."""
@@ -319,7 +323,7 @@
     def look(self) -> None:
         """Take in what has changed since the last look."""
         for life in self.group.refresh():
-            self.questions.lost(life.name)
+            self.calls.fail_calls_to(life.name)
             self.ownership.loads.forget(life.name)
             seconds = DOUBT_SECONDS if self._hears(life.name) else 0.0
             self.doubted.append((self.clock() + seconds, life))
@@ -363,9 +367,9 @@
         """
         for flow, home in list(self.homes.items()):
             if home == gone:
-                self.homes[flow] = self._register(flow, self.me)
+                self.homes[flow] = self._register(flow, self.agent_id)
 
-    def _register(self, flow: int, owner: Holder) -> str:
+    def _register(self, flow: int, owner: AgentId) -> str:
         """Tell a flow's next home who owns it; return that home, "" if it is here."""
         for name in self.group.ranked(flow):
             if name == self.name and not self.retired:
@@ -381,10 +385,10 @@
         Peers have noted the flows owned here as lost with the old life, so they are
         told anew.
         """
-        self.me = Holder(self.name, incarnation)
-        self.ownership.me = self.group.me = self.me
+        self.agent_id = AgentId(self.name, incarnation)
+        self.ownership.agent_id = self.group.agent_id = self.agent_id
         for flow in self.flows.owned:
-            self.homes[flow] = self._register(flow, self.me)
+            self.homes[flow] = self._register(flow, self.agent_id)
 
     def retire(self) -> None:
         """Hand the directory over to the flows' next homes, and place nothing more."""
--- a/tests/ownership_agents.py
+++ b/tests/ownership_agents.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from cornelspan_ownership.directory import Directory, Holder
+from cornelspan_ownership.directory import AgentId, Directory
 from cornelspan_ownership.ownership import Ownership
 from cornelspan_ownership.placement import OwnLoad, load_message
 from cornelspan_ownership.promises import peer_gone
@@ -11,7 +11,7 @@
 
 
 @dataclass
-class Asking:
+class PendingCall:
     """Questions of one step of a coroutine; it goes on once all have an answer."""
 
     names: list
@@ -37,11 +37,11 @@
 
     def __post_init__(self):
         self.state = Ownership(
-            Holder(self.name, 1),
+            AgentId(self.name, 1),
             SERVICE,
             self,
             self,
-            self.ask,
+            self.call_peers,
             lambda: self.world.now,
             Directory(idle_seconds=1000.0),
         )
@@ -49,15 +49,15 @@
             busy = self.world.believed.get(name, 0)
             self.state.loads.update(load_message(SERVICE, name, 1, OwnLoad(2, busy)))
 
-    async def ask(self, names, message):
-        asking = Asking(list(names), message)
-        return await asking
+    async def call_peers(self, names, message):
+        call = PendingCall(list(names), message)
+        return await call
 
     def ranked(self, flow):
         return self.world.rank(flow, [*self.view, self.name])
 
     def life(self, name):
-        return Holder(name, 1) if name in self.view else None
+        return AgentId(name, 1) if name in self.view else None
 
     def is_gone(self, name, incarnation):
         return name in self.gone
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -14,7 +14,7 @@
 from cornelspan_common.hashing import name_seed, rank, score
 from cornelspan_common.ownership import Claim
 from cornelspan_common.packets import Kind, Packet
-from cornelspan_ownership.group import AskError
+from cornelspan_ownership.group import CallError
 from cornelspan_ownership.ownership import OPEN_HOPS
 from cornelspan_ownership.promises import answer_claim, answer_handoff
 from ownership_agents import Agent
@@ -41,9 +41,9 @@
 
 
 def pending(waiting):
-    agent, _, asking, _ = waiting
-    asked = without_question(asking.message)
-    return agent.name, asked, tuple(asking.names), tuple(sorted(asking.answers))
+    agent, _, call, _ = waiting
+    asked = without_question(call.message)
+    return agent.name, asked, tuple(call.names), tuple(sorted(call.answers))
 
 
 def fair_outranks(flow, one, other):
@@ -204,43 +204,43 @@
         else:
             self.answered(content, name, *extra)
 
-    def answer(self, agent, asking, asker):
-        message = asking.message
+    def answer(self, agent, call, asker):
+        message = call.message
         agent.learn(message.home)
         if type(message) is Claim:
             reply = answer_claim(agent.state, message)
         else:
             reply = answer_handoff(agent.state, message)
         if reply is not None:
-            self.flying.append(("answer", asker.name, asking, (agent.name, Ok(reply))))
+            self.flying.append(("answer", asker.name, call, (agent.name, Ok(reply))))
 
-    def answered(self, asking, _, name, answer):
+    def answered(self, call, _, name, answer):
         for waiting in self.waiting:
-            if waiting[2] is asking:
-                asking.answers.setdefault(name, answer)
+            if waiting[2] is call:
+                call.answers.setdefault(name, answer)
                 self.resume(waiting)
                 return
 
     def time_out(self, waiting, name):
-        waiting[2].answers[name] = Err(AskError(name, gone=False))
+        waiting[2].answers[name] = Err(CallError(name, gone=False))
         self.resume(waiting)
 
     def resume(self, waiting):
-        agent, work, asking, context = waiting
-        if len(asking.answers) == len(asking.names):
+        agent, work, call, context = waiting
+        if len(call.answers) == len(call.names):
             self.waiting.remove(waiting)
-            answers = [asking.answers[name] for name in asking.names]
+            answers = [call.answers[name] for name in call.names]
             self.step(agent, work, answers, context)
 
     def step(self, agent, work, value, context):
         try:
-            asking = work.send(value)
+            call = work.send(value)
         except StopIteration as done:
             self.opened(done.value, context)
             return
-        self.waiting.append((agent, work, asking, context))
-        for name in asking.names:
-            self.flying.append(("ask", name, asking, agent))
+        self.waiting.append((agent, work, call, context))
+        for name in call.names:
+            self.flying.append(("ask", name, call, agent))
 
     def opened(self, opened, context):
         listed, hops = context
@@ -268,10 +268,10 @@
     def lose(self, agent, name):
         agent.lose(name)
         for waiting in list(self.waiting):
-            asking = waiting[2]
-            asked = waiting[0] is agent and name in asking.names
-            if asked and name not in asking.answers:
-                asking.answers[name] = Err(AskError(name, gone=True))
+            call = waiting[2]
+            asked = waiting[0] is agent and name in call.names
+            if asked and name not in call.answers:
+                call.answers[name] = Err(CallError(name, gone=True))
                 self.resume(waiting)
 
     def state(self):
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,12 +1,12 @@
 """The directory of flows: what ends an entry."""
 
-from cornelspan_ownership.directory import Directory, Holder, Records
+from cornelspan_ownership.directory import AgentId, Directory, FlowAgents
 
-OWNER = Holder("agent-1", 5)
+OWNER = AgentId("agent-1", 5)
 
 
 def test_entry_ends_after_idle_time_but_not_while_used():
-    records = Records(idle_seconds=10.0)
+    records = FlowAgents(idle_seconds=10.0)
     records.put(1, OWNER, 0.0)
     records.put(2, OWNER, 0.0)
     assert records.get(1, 9.0) == OWNER
@@ -16,7 +16,7 @@
 
 
 def test_oldest_entry_makes_room():
-    records = Records(idle_seconds=10.0, limit=2)
+    records = FlowAgents(idle_seconds=10.0, limit=2)
     for flow in range(3):
         records.put(flow, OWNER, float(flow))
     assert records.get(0, 3.0) is None
@@ -28,17 +28,17 @@
     # that does not know the flows; those of its second life must stay.
     directory = Directory(idle_seconds=10.0)
     directory.owners.put(1, OWNER, 0.0)
-    directory.owners.put(2, Holder("agent-1", 6), 0.0)
+    directory.owners.put(2, AgentId("agent-1", 6), 0.0)
     directory.homes.put(3, OWNER, 0.0)
-    assert directory.gone("agent-1", 5) == [1]
-    assert directory.owners.get(2, 0.0) == Holder("agent-1", 6)
+    assert directory.remove_agent("agent-1", 5) == [1]
+    assert directory.owners.get(2, 0.0) == AgentId("agent-1", 6)
     assert directory.homes.get(3, 0.0) is None
 
 
 def test_ended_flow_is_remembered_for_a_while():
     directory = Directory(idle_seconds=100.0)
     directory.owners.put(1, OWNER, 0.0)
-    directory.end(1, OWNER, 1.0)
+    directory.end_flow(1, OWNER, 1.0)
     assert directory.owners.get(1, 1.0) is None
     assert directory.ended.get(1, 1.0) == OWNER
     directory.expire(60.0)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -9,7 +9,7 @@
 from cornelspan_common.ownership import Claim, Handoff
 from cornelspan_common.packets import Kind, Packet
 from cornelspan_ownership import promises
-from cornelspan_ownership.directory import Holder
+from cornelspan_ownership.directory import AgentId
 from cornelspan_ownership.group import Refused, Wait
 from cornelspan_ownership.ownership import Ownership
 from ownership_model import Agent, World
@@ -214,7 +214,7 @@
     assert len(owners) == 1
     assert owners[0] is not home
     world.deliver(0)
-    assert home.state.directory.owners.get(FLOW, 0.0) == Holder(owners[0].name, 1)
+    assert home.state.directory.owners.get(FLOW, 0.0) == AgentId(owners[0].name, 1)
 
 
 def test_stranger_in_the_senders_list_is_waited_for_only_a_moment():
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -13,7 +13,7 @@
 from cornelspan_common.tasks import task_group
 from cornelspan_control.configuration import Configuration
 from cornelspan_control.members import Members
-from cornelspan_ownership.directory import Holder
+from cornelspan_ownership.directory import AgentId
 from cornelspan_ownership.flows import Flows
 from cornelspan_ownership.router import Router
 
@@ -194,7 +194,7 @@
     world.router.look()
     flows = range(100)
     for flow in flows:
-        world.router.ownership.directory.owners.put(flow, Holder("hub-3", 1), 0.0)
+        world.router.ownership.directory.owners.put(flow, AgentId("hub-3", 1), 0.0)
     world.router.retire()
     told = [message for peer in world.agents.values() for message in sent(peer, Owner)]
     assert sorted(message.flow for message in told) == list(flows)
