--- a/packages/cornelspan-ownership/src/cornelspan_ownership/group.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/group.py
@@ -21,59 +21,59 @@
 
 
 @dataclass(frozen=True, slots=True)
-class At:
+class OwnedBy:
     """The flow is owned by an agent, this one or another."""
 
     owner: str
 
 
 @dataclass(frozen=True, slots=True)
-class PassOn:
+class ForwardTo:
     """Another agent is the flow's home."""
 
     home: str
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
+class RetryLater:
     """Not to be decided now; the fabric's end repeats its open."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class Rejected:
     """The flow can't be opened, or has ended; the fabric's end is to be told."""
 
     reason: str
 
 
-Opened = At | PassOn | Wait | Refused
+OpenResult = OwnedBy | ForwardTo | RetryLater | Rejected
 Answer = ClaimAnswer | HandoffAnswer
 AnswerResult = Result[Answer, CallError]
 CallPeers = Callable[[Sequence[str], Claim | Handoff], Awaitable[list[AnswerResult]]]
 
 
-class Group(Protocol):
+class PeerGroup(Protocol):
     """What an agent knows of its service's group now."""
 
     def ranked(self, flow: int) -> tuple[str, ...]:
         """Return the candidates by this agent's own view."""
 
-    def life(self, name: str) -> AgentId | None:
+    def find_agent(self, name: str) -> AgentId | None:
         """Return the life of a peer that is there now, None if it isn't known."""
 
     def is_gone(self, name: str, incarnation: int) -> bool:
         """Whether a life of a peer is known to have ended."""
 
-    def is_settled(self) -> bool:
+    def is_stable(self) -> bool:
         """Whether the group has not changed for longer than an open is repeated."""
 
     def outranks(self, flow: int, one: str, other: str) -> bool:
         """Whether of two homes the first wins; the same wherever it is asked."""
 
 
-class Local(Protocol):
+class LocalAgent(Protocol):
     """The flows that this agent owns, and its load."""
 
     def owns(self, flow: int) -> bool:
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/loadnews.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/loadnews.py
@@ -5,10 +5,10 @@
 from cornelspan_common.channel import Channel
 from cornelspan_common.ownership import Load
 from cornelspan_ownership.placement import (
-    LOAD_SECONDS,
+    LOAD_INTERVAL_SECONDS,
     OwnLoad,
-    mean_has_moved,
-    tells_at_once,
+    mean_has_changed,
+    must_send_now,
 )
 
 SILENT_SECONDS = 0.25
@@ -24,12 +24,12 @@
 
     def is_due(self, load: OwnLoad, now: float) -> bool:
         """Whether the peers have to be told of a load now."""
-        if tells_at_once(self.told, load):
+        if must_send_now(self.told, load):
             return True
         told = (self.told.slots, self.told.running, self.told.waiting)
         changed = told != (load.slots, load.running, load.waiting)
-        changed = changed or mean_has_moved(self.told, load)
-        return changed and now - self.at >= LOAD_SECONDS
+        changed = changed or mean_has_changed(self.told, load)
+        return changed and now - self.at >= LOAD_INTERVAL_SECONDS
 
     def note(self, told: Load, now: float) -> None:
         """Note what the peers are told."""
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
@@ -25,30 +25,30 @@
 from cornelspan_ownership.directory import AgentId, Directory, FlowAgents
 from cornelspan_ownership.group import (
     AnswerResult,
-    At,
     CallError,
     CallPeers,
-    Group,
-    Local,
-    Opened,
-    PassOn,
-    Refused,
-    Wait,
+    ForwardTo,
+    LocalAgent,
+    OpenResult,
+    OwnedBy,
+    PeerGroup,
+    Rejected,
+    RetryLater,
 )
 from cornelspan_ownership.placement import (
-    HANDOFF_TRIES,
+    HANDOFF_ATTEMPTS,
     NO_LIMIT,
-    Loads,
+    LoadTable,
     busy_limit,
-    choose,
     load_message,
+    rank_targets,
 )
 
 OPEN_HOPS = 6
 PLACING_STEPS = 16
 STRANGERS = 1000
 STRANGER_SECONDS = 1.0
-LOST = Refused("owner lost")
+LOST = Rejected("owner lost")
 UNSURE_SECONDS = 60.0
 
 
@@ -82,12 +82,12 @@
 
     agent_id: AgentId
     service: str
-    group: Group
-    local: Local
+    group: PeerGroup
+    local: LocalAgent
     call_peers: CallPeers
     clock: Callable[[], float]
     directory: Directory
-    loads: Loads = field(default_factory=Loads)
+    loads: LoadTable = field(default_factory=LoadTable)
     pending: dict[int, Pending] = field(default_factory=dict)
     strange_since: dict[str, float] = field(default_factory=dict)
     last_call_id: int = 0
@@ -96,25 +96,27 @@
         default_factory=lambda: FlowAgents(idle_seconds=UNSURE_SECONDS)
     )
 
-    def locate(self, flow: int) -> Opened | None:
+    def locate(self, flow: int) -> OpenResult | None:
         """Return what is known here of a flow, None if nothing."""
         if self.local.owns(flow):
-            return At(self.agent_id.name)
+            return OwnedBy(self.agent_id.name)
         now = self.clock()
         ended = self.directory.ended.get(flow, now)
         if ended is not None:
             return (
-                Wait("flow has ended")
+                RetryLater("flow has ended")
                 if ended.name in ("", self.agent_id.name)
                 else LOST
             )
         owner = self.directory.owners.get(flow, now)
         if owner is not None:
-            return At(owner.name)
+            return OwnedBy(owner.name)
         home = self.directory.homes.get(flow, now)
-        return PassOn(home.name) if home is not None else None
+        return ForwardTo(home.name) if home is not None else None
 
-    async def open(self, packet: Packet, listed: Sequence[str], hops: int) -> Opened:
+    async def open(
+        self, packet: Packet, listed: Sequence[str], hops: int
+    ) -> OpenResult:
         """Find or become the home of a flow, and place it.
 
         Args:
@@ -128,19 +130,19 @@
         if known is not None:
             return known
         if packet.flow in self.pending:
-            return Wait("open under way")
+            return RetryLater("open under way")
         pending = self.pending[packet.flow] = Pending()
         try:
             opened = await self._open(packet, listed, pending)
         finally:
             del self.pending[packet.flow]
-        if isinstance(opened, Wait):
+        if isinstance(opened, RetryLater):
             self.counts.waits += 1
         return opened
 
     async def _open(
         self, packet: Packet, listed: Sequence[str], pending: Pending
-    ) -> Opened:
+    ) -> OpenResult:
         if self._must_claim(packet.flow, listed):
             self.counts.claimed += 1
             found = await self._claim(packet.flow, self._others(packet.flow, listed))
@@ -177,18 +179,18 @@
             return False
         ranked = self.group.ranked(flow)
         first = bool(ranked) and ranked[0] == self.agent_id.name
-        return not (first and tuple(listed) == ranked and self.group.is_settled())
+        return not (first and tuple(listed) == ranked and self.group.is_stable())
 
-    async def _claim(self, flow: int, names: list[str]) -> Opened | None:
+    async def _claim(self, flow: int, names: list[str]) -> OpenResult | None:
         """Ask agents, and the homes that they name; None if the claim stands with all.
 
         Only a home itself knows whether it still is: others may have recorded a claim
         that has since yielded.
         """
         if strange := self._strangers(names):
-            return Wait(f"{strange[0]} is not known here yet")
+            return RetryLater(f"{strange[0]} is not known here yet")
         asked: set[str] = set()
-        asking = [name for name in names if self.group.life(name)]
+        asking = [name for name in names if self.group.find_agent(name)]
         while asking:
             answers = await self.call_peers(asking, self._claim_message(flow))
             asked.update(asking)
@@ -207,7 +209,7 @@
         flow while an old view lasts.
         """
         now = self.clock()
-        unknown = [name for name in names if self.group.life(name) is None]
+        unknown = [name for name in names if self.group.find_agent(name) is None]
         if len(self.strange_since) > STRANGERS:
             self.strange_since.clear()
         return [
@@ -218,14 +220,14 @@
 
     def _weigh(
         self, flow: int, asked: Sequence[str], answers: list[AnswerResult]
-    ) -> Result[list[str], Opened]:
+    ) -> Result[list[str], OpenResult]:
         """Read answers to a claim.
 
         Returns:
             Other homes that have to be asked, or what ends the claim.
         """
         pointers: list[str] = []
-        silent: Opened | None = None
+        silent: OpenResult | None = None
         for name, answer in zip(asked, answers, strict=True):
             match answer:
                 case Ok(ClaimAnswer(owner=owner) as found) if owner:
@@ -235,27 +237,27 @@
                 case Ok(ClaimAnswer(home=home, home_incarnation=life)) if home:
                     if self._is_over(home, life):
                         continue
-                    if self.group.life(home) is None:
-                        return Err(PassOn(name))
+                    if self.group.find_agent(home) is None:
+                        return Err(ForwardTo(name))
                     pointers.append(home)
                 case Err(CallError(gone=False)):
-                    silent = Wait(f"no answer from {name}")
+                    silent = RetryLater(f"no answer from {name}")
         return Err(silent) if silent is not None else Ok(pointers)
 
-    def _owned_by(self, flow: int, answer: ClaimAnswer) -> Opened:
+    def _owned_by(self, flow: int, answer: ClaimAnswer) -> OpenResult:
         if self.group.is_gone(answer.owner, answer.owner_incarnation):
             return LOST
         owner = AgentId(answer.owner, answer.owner_incarnation)
         if owner == self.agent_id:
-            return self.locate(flow) or Wait("flow has ended")
+            return self.locate(flow) or RetryLater("flow has ended")
         self.directory.owners.put(flow, owner, self.clock())
-        return At(owner.name)
+        return OwnedBy(owner.name)
 
-    def _home_is(self, flow: int, answer: ClaimAnswer) -> Opened:
+    def _home_is(self, flow: int, answer: ClaimAnswer) -> OpenResult:
         home = AgentId(answer.home, answer.home_incarnation)
         self.directory.homes.put(flow, home, self.clock())
         self.counts.yielded += 1
-        return PassOn(home.name)
+        return ForwardTo(home.name)
 
     def _others(self, flow: int, listed: Sequence[str]) -> list[str]:
         """Return the candidates of both views but this agent and those gone."""
@@ -265,14 +267,14 @@
 
     def _is_over(self, name: str, incarnation: int) -> bool:
         """Whether a life has ended, or with 0 the last one known of a name."""
-        life = self.group.life(name)
+        life = self.group.find_agent(name)
         if life is not None:
             return incarnation != 0 and life.incarnation > incarnation
         return self.group.is_gone(name, incarnation)
 
-    async def _place(self, packet: Packet, pending: Pending) -> Opened:
+    async def _place(self, packet: Packet, pending: Pending) -> OpenResult:
         """Keep the flow or hand it off, until someone has it for sure."""
-        tries = HANDOFF_TRIES
+        attempts_left = HANDOFF_ATTEMPTS
         yielded = ""
         lost: set[str] = set()
         for _ in range(PLACING_STEPS):
@@ -282,9 +284,9 @@
             if target == "":
                 self.counts.kept += 1
                 self.local.open(packet)
-                return At(self.agent_id.name)
+                return OwnedBy(self.agent_id.name)
             pending.target = target
-            match await self._hand_off(packet, target, tries, yielded):
+            match await self._hand_off(packet, target, attempts_left, yielded):
                 case Ok(HandoffAnswer(accepted=True)):
                     return self._handed_to(packet.flow, target)
                 case Ok(HandoffAnswer(home=home) as answer) if home:
@@ -294,25 +296,25 @@
                     yielded = home
                 case Ok(HandoffAnswer(load=load)):
                     self.counts.refusals += 1
-                    tries -= 1
-                    if load.slots == 0 or tries < 0:
+                    attempts_left -= 1
+                    if load.slots == 0 or attempts_left < 0:
                         lost.add(target)
                 case Err(CallError(gone=True)):
                     lost.add(target)
                 case Err():
-                    return Wait(f"no answer from {target}")
-        return Wait("refused too often")
+                    return RetryLater(f"no answer from {target}")
+        return RetryLater("refused too often")
 
-    def _nobody_takes_it(self) -> Opened:
+    def _nobody_takes_it(self) -> OpenResult:
         """Refuse a flow that nobody can take, unless someone may in a moment.
 
         In a rolling restart the last agent leaves while its successors have told no
         load yet. Refused, the caller would see a broken flow; its open is repeated
         for about 12 s anyway, and a group that has settled refuses at once.
         """
-        if self.group.is_settled():
-            return Refused("no endpoint takes new flows")
-        return Wait("no endpoint has told that it takes new flows")
+        if self.group.is_stable():
+            return Rejected("no endpoint takes new flows")
+        return RetryLater("no endpoint has told that it takes new flows")
 
     def _target(self, flow: int, lost: set[str]) -> str | None:
         """Return whom to place a flow at, "" for here, None if nobody can take it."""
@@ -324,24 +326,26 @@
         peers = [
             name
             for name in self.group.ranked(flow)
-            if name != self.agent_id.name and name not in lost and self.group.life(name)
+            if name != self.agent_id.name
+            and name not in lost
+            and self.group.find_agent(name)
         ]
-        ordered = choose(self.local.load(), self.loads, peers)
+        ordered = rank_targets(self.local.load(), self.loads, peers)
         return ordered[0] if ordered else None
 
     async def _hand_off(
-        self, packet: Packet, target: str, tries: int, yielded: str
+        self, packet: Packet, target: str, attempts_left: int, yielded: str
     ) -> AnswerResult:
         """Ask a peer to own the flow; without an answer it stays the one to ask."""
         flow = packet.flow
         again = self.unsure.get(flow, self.clock()) is not None
-        limit = NO_LIMIT if again else busy_limit(self.loads, target, tries)
-        life = self.group.life(target) or AgentId(target, 0)
+        limit = NO_LIMIT if again else busy_limit(self.loads, target, attempts_left)
+        life = self.group.find_agent(target) or AgentId(target, 0)
         self.unsure.put(flow, life, self.clock())
-        self.loads.sent(target)
+        self.loads.add_unanswered(target)
         message = self._handoff_message(packet, limit, yielded)
         [answer] = await self.call_peers([target], message)
-        self.loads.answered(target)
+        self.loads.remove_unanswered(target)
         match answer:
             case Ok(HandoffAnswer(load=load)):
                 self.loads.update(load)
@@ -350,14 +354,14 @@
                 self.unsure.drop(flow)
         return answer
 
-    def _handed_to(self, flow: int, target: str) -> Opened:
+    def _handed_to(self, flow: int, target: str) -> OpenResult:
         self.counts.handed_off += 1
-        life = self.group.life(target)
+        life = self.group.find_agent(target)
         if life is not None:
             self.directory.owners.put(flow, life, self.clock())
-        return At(target)
+        return OwnedBy(target)
 
-    async def _settle(self, flow: int, refused: HandoffAnswer) -> Opened | None:
+    async def _settle(self, flow: int, refused: HandoffAnswer) -> OpenResult | None:
         """Ask the home that a refusal names; None if it yields or is gone."""
         home = refused.home
         if self._is_over(home, refused.home_incarnation):
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
@@ -13,14 +13,14 @@
 from cornelspan_ownership.directory import AgentId
 from cornelspan_ownership.group import Answer, AnswerResult, CallError
 
-SETTLE_SECONDS = 15.0
+STABLE_SECONDS = 15.0
 CALL_TIMEOUT_SECONDS = 0.5
 
 
 class ServiceGroup:
     """The service's agents: those announced, and those met on a stream before.
 
-    An open is repeated for about 12 s by the fabric's end, so for ``settle_seconds``
+    An open is repeated for about 12 s by the fabric's end, so for ``stable_seconds``
     after a change one may come to a new home that an old home has placed already.
     """
 
@@ -31,16 +31,16 @@
         members: Members,
         clock: Callable[[], float],
         *,
-        settle_seconds: float = SETTLE_SECONDS,
+        stable_seconds: float = STABLE_SECONDS,
     ) -> None:
         self.agent_id = agent_id
         self.service = service
         self.members = members
         self.clock = clock
-        self.settle_seconds = settle_seconds
+        self.stable_seconds = stable_seconds
         self.ranking = Ranking(members)
-        self.met: dict[str, int] = {}
-        self.lives: dict[str, int] = {}
+        self.contacted: dict[str, int] = {}
+        self.incarnations: dict[str, int] = {}
         self.version = -1
         self.changed_at = clock()
 
@@ -48,11 +48,11 @@
         """Return the candidates by this agent's own view."""
         return self.ranking.candidates(self.service, flow).names
 
-    def life(self, name: str) -> AgentId | None:
+    def find_agent(self, name: str) -> AgentId | None:
         """Return the newest life known of a peer, None if it isn't known."""
         known = self.members.known.get(name)
         announced = known.incarnation if known and known.service == self.service else 0
-        life = max(announced, self.met.get(name, 0))
+        life = max(announced, self.contacted.get(name, 0))
         return AgentId(name, life) if life else None
 
     def is_gone(self, name: str, incarnation: int) -> bool:
@@ -61,12 +61,12 @@
             return incarnation < self.agent_id.incarnation
         if self.members.gone.get(name, -1) >= incarnation:
             return True
-        life = self.life(name)
+        life = self.find_agent(name)
         return life is not None and 0 < incarnation < life.incarnation
 
-    def is_settled(self) -> bool:
+    def is_stable(self) -> bool:
         """Whether the group is the same for longer than an open is repeated."""
-        return self.clock() - self.changed_at >= self.settle_seconds
+        return self.clock() - self.changed_at >= self.stable_seconds
 
     def outranks(self, flow: int, one: str, other: str) -> bool:
         """Whether of two homes the first wins.
@@ -76,28 +76,34 @@
         first = score(flow, name_seed(one), 1.0)
         return first > score(flow, name_seed(other), 1.0)
 
-    def meet(self, name: str, incarnation: int) -> None:
+    def add_peer(self, name: str, incarnation: int) -> None:
         """Note a peer that speaks to us; it may not have been announced yet."""
-        life = self.life(name)
+        life = self.find_agent(name)
         if self.is_gone(name, incarnation) or name == self.agent_id.name:
             return
         if life is None or life.incarnation < incarnation:
-            self.met[name] = incarnation
+            self.contacted[name] = incarnation
             self.changed_at = self.clock()
 
     def refresh(self) -> list[AgentId]:
         """Look at the members anew; return the lives that have ended since."""
-        if self.version == self.members.version and not self.met:
+        if self.version == self.members.version and not self.contacted:
             return []
         self.version = self.members.version
-        self.met = {n: i for n, i in self.met.items() if not self.is_gone(n, i)}
+        self.contacted = {
+            n: i for n, i in self.contacted.items() if not self.is_gone(n, i)
+        }
         agents = self.members.of_service(self.service)
-        names = {agent.name for agent in agents} | set(self.met)
-        lives = {name: self.life(name).incarnation for name in names}
-        ended = [AgentId(n, i) for n, i in self.lives.items() if lives.get(n) != i]
-        if lives != self.lives:
+        names = {agent.name for agent in agents} | set(self.contacted)
+        incarnations = {name: self.find_agent(name).incarnation for name in names}
+        ended = [
+            AgentId(n, i)
+            for n, i in self.incarnations.items()
+            if incarnations.get(n) != i
+        ]
+        if incarnations != self.incarnations:
             self.changed_at = self.clock()
-        self.lives = lives
+        self.incarnations = incarnations
         return ended
 
 
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/promises.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/promises.py
@@ -9,7 +9,7 @@
 )
 from cornelspan_ownership.directory import AgentId
 from cornelspan_ownership.ownership import Ownership
-from cornelspan_ownership.placement import load_message, takes
+from cornelspan_ownership.placement import accepts_handoff, load_message
 
 
 def answer_claim(state: Ownership, claim: Claim) -> ClaimAnswer | None:
@@ -40,7 +40,7 @@
     if against is not None:
         return _handoff_answer(state, handoff, False, against)
     state.directory.homes.put(flow, asker, state.clock())
-    if not takes(state.local.load(), handoff.limit):
+    if not accepts_handoff(state.local.load(), handoff.limit):
         return _handoff_answer(state, handoff, False, None)
     state.local.open(handoff.packet)
     return _handoff_answer(state, handoff, True, None)
@@ -65,7 +65,7 @@
     Kept as ended, a late repeated open of such a flow is refused. Placed again, its
     new owner might be sent the request that the dead one has run already.
     """
-    state.loads.forget(name)
+    state.loads.remove(name)
     now = state.clock()
     for flow in state.directory.remove_agent(name, incarnation):
         state.directory.ended.put(flow, AgentId(name, incarnation), now)
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
@@ -23,7 +23,7 @@
 from cornelspan_ownership import promises
 from cornelspan_ownership.directory import AgentId, Directory
 from cornelspan_ownership.flows import Flows
-from cornelspan_ownership.group import At, PassOn, Refused, Wait
+from cornelspan_ownership.group import ForwardTo, OwnedBy, Rejected, RetryLater
 from cornelspan_ownership.loadnews import LoadNews, SilentFlows
 from cornelspan_ownership.localflows import LocalFlows, RoutingCounts
 from cornelspan_ownership.ownership import OPEN_HOPS, Ownership
@@ -123,7 +123,7 @@
 
     def reachable(self) -> list[str]:
         """Return the other agents of the service that a stream is open to."""
-        return [name for name in self.group.lives if name != self.name]
+        return [name for name in self.group.incarnations if name != self.name]
 
     def met(self, peer: Peer) -> None:
         """Take in a stream from another process."""
@@ -141,7 +141,7 @@
         """Take in what another agent asks, answers or tells."""
         match message:
             case Load(service=self.settings.service):
-                self.group.meet(message.name, message.incarnation)
+                self.group.add_peer(message.name, message.incarnation)
                 self.ownership.loads.update(message)
             case Claim():
                 self._meet(peer, message)
@@ -197,11 +197,11 @@
     def _route_open(self, routed: Routed) -> None:
         located = self.ownership.locate(routed.packet.flow)
         match located:
-            case At(owner):
+            case OwnedBy(owner):
                 self._send_on(routed, owner)
-            case Refused(reason):
+            case Rejected(reason):
                 self._refuse(routed.packet, reason)
-            case PassOn(home) if routed.hops < OPEN_HOPS:
+            case ForwardTo(home) if routed.hops < OPEN_HOPS:
                 self._send_on(routed, home)
             case _:
                 self.tasks.start(self._open(routed), name="open")
@@ -211,11 +211,11 @@
         candidates = candidates_decoder.decode(routed.candidates)
         opened = await self.ownership.open(routed.packet, candidates, routed.hops)
         match opened:
-            case At(owner):
+            case OwnedBy(owner):
                 self._hint(routed, owner)
-            case PassOn(home):
+            case ForwardTo(home):
                 self._send_on(routed, home)
-            case Refused(reason):
+            case Rejected(reason):
                 self._refuse(routed.packet, reason)
 
     def _pass_on(self, routed: Routed) -> None:
@@ -226,11 +226,11 @@
             self._send_on(routed, pending.target)
             return
         match self.ownership.locate(flow):
-            case At(owner):
+            case OwnedBy(owner):
                 self._send_on(routed, owner)
-            case Refused(reason) | Wait(reason):
+            case Rejected(reason) | RetryLater(reason):
                 self._refuse(routed.packet, reason)
-            case PassOn(home) if routed.hops < OPEN_HOPS:
+            case ForwardTo(home) if routed.hops < OPEN_HOPS:
                 self._send_on(routed, home)
             case _:
                 self._ask_round(routed)
@@ -255,7 +255,9 @@
         """Return the candidates after this agent, round to the ones before it."""
         at = candidates.index(self.name) + 1 if self.name in candidates else 0
         ring = candidates[at:] + candidates[:at]
-        return [name for name in ring if name != self.name and self.group.life(name)]
+        return [
+            name for name in ring if name != self.name and self.group.find_agent(name)
+        ]
 
     def _send_on(self, routed: Routed, name: str) -> None:
         """Send a packet to another agent; without a stream the ends repeat it."""
@@ -289,7 +291,7 @@
 
     def _meet(self, peer: Peer, asked: Claim | Handoff) -> None:
         if asked.service == self.settings.service and asked.home == peer.name:
-            self.group.meet(asked.home, asked.incarnation)
+            self.group.add_peer(asked.home, asked.incarnation)
 
     def _reply(self, peer: Peer, answer: ClaimAnswer | HandoffAnswer | None) -> None:
         if answer is None:
@@ -324,7 +326,7 @@
         """Take in what has changed since the last look."""
         for life in self.group.refresh():
             self.calls.fail_calls_to(life.name)
-            self.ownership.loads.forget(life.name)
+            self.ownership.loads.remove(life.name)
             seconds = DOUBT_SECONDS if self._hears(life.name) else 0.0
             self.doubted.append((self.clock() + seconds, life))
             self._find_new_homes(life.name)
@@ -355,7 +357,7 @@
         if self.news.is_due(self.load(), self.clock()):
             news = self.load_message()
             self.news.note(news, self.clock())
-            for name in self.group.lives:
+            for name in self.group.incarnations:
                 if name != self.name:
                     self.send(name, news)
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
@@ -18,10 +18,10 @@
 from cornelspan_control.profiles import Profile
 from cornelspan_ownership.placement import (
     UNMEASURED,
-    Loads,
+    LoadTable,
     OwnLoad,
     PeerLoad,
-    choose,
+    rank_targets,
 )
 from cornelspan_requests.admission import LEAST_RETRY_AFTER
 from cornelspan_requests.backend import AnswerSink
@@ -51,11 +51,11 @@
 
     send: Callable[[str, Message], bool] = lambda name, message: False
     names: Callable[[], list[str]] = list
-    loads: Loads = field(default_factory=Loads)
+    loads: LoadTable = field(default_factory=LoadTable)
 
 
 def best_place(
-    own: OwnLoad | None, loads: Loads, names: list[str], tried: set[str], queue: int
+    own: OwnLoad | None, loads: LoadTable, names: list[str], tried: set[str], queue: int
 ) -> str | None:
     """Return where to run a request: an agent's name, ``HERE``, or None for nowhere.
 
@@ -73,11 +73,13 @@
         and name in loads.peers
         and loads.peers[name].load.waiting < max(1, queue)
     ]
-    ordered = choose(None if HERE in tried else own, loads, untried)
+    ordered = rank_targets(None if HERE in tried else own, loads, untried)
     return ordered[0] if ordered else None
 
 
-def urgent_view(own: OwnLoad | None, loads: Loads) -> tuple[OwnLoad | None, Loads]:
+def urgent_view(
+    own: OwnLoad | None, loads: LoadTable
+) -> tuple[OwnLoad | None, LoadTable]:
     """Return the loads as a request sees them whose priority was not lowered.
 
     It goes before all lowered ones that wait, so they are no load to it. Counted, they
@@ -86,7 +88,7 @@
     if own is not None:
         own = replace(own, waiting=own.urgent)
     peers = {name: _urgent(peer) for name, peer in loads.peers.items()}
-    return own, Loads(peers)
+    return own, LoadTable(peers)
 
 
 def _urgent(peer: PeerLoad) -> PeerLoad:
@@ -223,8 +225,8 @@
         self.counts.moved += 1
         # Counted against the peer until its own load shows the request; without this
         # all requests of one moment would fall on the same idle peer.
-        self.peers.loads.sent(place)
-        self.loop.call_later(UNSEEN_SECONDS, self.peers.loads.answered, place)
+        self.peers.loads.add_unanswered(place)
+        self.loop.call_later(UNSEEN_SECONDS, self.peers.loads.remove_unanswered, place)
         return await self.handoffs.send(place, request, sink)
 
     async def _may_retry(
--- a/packages/cornelspan-standins/src/cornelspan_standins/_placement_policies.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_placement_policies.py
@@ -8,15 +8,15 @@
 from cornelspan_control.members import Members
 from cornelspan_control.ranking import Ranking
 from cornelspan_ownership.placement import (
-    HANDOFF_TRIES,
-    LOAD_SECONDS,
-    Loads,
+    HANDOFF_ATTEMPTS,
+    LOAD_INTERVAL_SECONDS,
+    LoadTable,
     OwnLoad,
+    accepts_handoff,
     busy_limit,
-    choose,
     load_message,
-    takes,
-    tells_at_once,
+    must_send_now,
+    rank_targets,
 )
 from cornelspan_standins._placement_run import (
     NETWORK_SECONDS,
@@ -161,7 +161,7 @@
         self.names = [_name(index) for index in range(size)]
         self.numbers = {name: index for index, name in enumerate(self.names)}
         self.ranking = _ranking(size)
-        self.views = [Loads() for _ in range(size)]
+        self.views = [LoadTable() for _ in range(size)]
         self.due = [False] * size
         self.told = [self._load(index) for index in range(size)]
         self.messages = 0
@@ -172,29 +172,29 @@
     def place(self, flow: int, arrive: Arrive) -> None:
         """Place a flow from its home."""
         home, *peers = self.ranking.candidates(SERVICE, flow).names
-        self._try(self.numbers[home], peers, HANDOFF_TRIES, arrive)
+        self._try(self.numbers[home], peers, HANDOFF_ATTEMPTS, arrive)
 
     def _try(self, home: int, peers: list[str], tries: int, arrive: Arrive) -> None:
-        chosen = choose(self._own(home), self.views[home], peers)[0]
+        chosen = rank_targets(self._own(home), self.views[home], peers)[0]
         if not chosen:
             arrive(home)
             return
         target = self.numbers[chosen]
         limit = busy_limit(self.views[home], chosen, tries)
-        self.views[home].sent(chosen)
+        self.views[home].add_unanswered(chosen)
         self.messages += 2
         load = self._load(home)
 
         def reach() -> None:
             self.views[target].update(load)
-            taken = takes(self._own(target), limit)
+            taken = accepts_handoff(self._own(target), limit)
             if taken:
                 arrive(target)
             answer = self._load(target)
             self.run.after(NETWORK_SECONDS, lambda: answered(answer, taken))
 
         def answered(answer: Load, taken: bool) -> None:
-            self.views[home].answered(chosen)
+            self.views[home].remove_unanswered(chosen)
             self.views[home].update(answer)
             if not taken:
                 self._try(home, peers, tries - 1, arrive)
@@ -214,11 +214,11 @@
     def _changed(self, index: int) -> None:
         """Have the peers told of a change when the real code would."""
         own = self._own(index)
-        if tells_at_once(self.told[index], own):
+        if must_send_now(self.told[index], own):
             self._tell(index)
         elif not self.due[index]:
             self.due[index] = True
-            self.run.after(LOAD_SECONDS, lambda: self._tell(index))
+            self.run.after(LOAD_INTERVAL_SECONDS, lambda: self._tell(index))
 
     def _tell(self, index: int) -> None:
         self.due[index] = False
--- a/packages/cornelspan-standins/src/cornelspan_standins/_requests_run.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_requests_run.py
@@ -12,7 +12,12 @@
 import numpy as np
 
 from cornelspan_control.profiles import RequestPolicy
-from cornelspan_ownership.placement import LOAD_SECONDS, Loads, OwnLoad, load_message
+from cornelspan_ownership.placement import (
+    LOAD_INTERVAL_SECONDS,
+    LoadTable,
+    OwnLoad,
+    load_message,
+)
 from cornelspan_requests.admission import Admission
 from cornelspan_requests.dispatch import HERE, MOST_MOVES, best_place, urgent_view
 from cornelspan_requests.endpoint import RECONSIDER_SECONDS, has_idle_peer
@@ -81,7 +86,7 @@
     """One endpoint with its agent's admission and what it knows of its peers."""
 
     admission: Admission
-    loads: Loads = field(default_factory=Loads)
+    loads: LoadTable = field(default_factory=LoadTable)
     jobs: dict[Ticket, Job] = field(default_factory=dict)
 
 
@@ -159,7 +164,7 @@
         if name is None:
             return None
         if name != HERE:
-            site.loads.sent(name)
+            site.loads.add_unanswered(name)
         return owner if name == HERE else int(name)
 
     def _moves_on(self, job: Job, refusal: Refusal) -> bool:
@@ -241,7 +246,7 @@
         for at, site in enumerate(self.sites):
             self._move_first(at, site)
         if self.now < self.case.seconds:
-            self.at(self.now + LOAD_SECONDS, self._share_loads)
+            self.at(self.now + LOAD_INTERVAL_SECONDS, self._share_loads)
 
 
 class PlainRun(Run):
--- a/tests/ownership_agents.py
+++ b/tests/ownership_agents.py
@@ -30,7 +30,7 @@
     name: str
     slots: int
     view: dict
-    settled: bool = True
+    stable: bool = True
     alive: bool = True
     owned: set = field(default_factory=set)
     gone: set = field(default_factory=set)
@@ -56,14 +56,14 @@
     def ranked(self, flow):
         return self.world.rank(flow, [*self.view, self.name])
 
-    def life(self, name):
+    def find_agent(self, name):
         return AgentId(name, 1) if name in self.view else None
 
     def is_gone(self, name, incarnation):
         return name in self.gone
 
-    def is_settled(self):
-        return self.world.trust_time or self.settled
+    def is_stable(self):
+        return self.world.trust_time or self.stable
 
     def outranks(self, flow, one, other):
         return self.world.outranks(flow, one, other)
@@ -82,12 +82,12 @@
         """Hear of a new agent."""
         if name not in self.view and name not in self.gone and name != self.name:
             self.view[name] = 1
-            self.settled = False
+            self.stable = False
             self.state.loads.update(load_message(SERVICE, name, 1, OwnLoad(2, 0)))
 
     def lose(self, name):
         """Hear that an agent is gone."""
         self.gone.add(name)
         if self.view.pop(name, None):
-            self.settled = False
+            self.stable = False
         peer_gone(self.state, name, 1)
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -245,9 +245,9 @@
     def opened(self, opened, context):
         listed, hops = context
         match type(opened).__name__:
-            case "PassOn" if hops < 2 * OPEN_HOPS:
+            case "ForwardTo" if hops < 2 * OPEN_HOPS:
                 self.flying.append(("open", opened.home, listed, hops + 1))
-            case "Refused":
+            case "Rejected":
                 self.refused = True
 
     def crash(self, agent):
@@ -260,7 +260,7 @@
     def join(self):
         name = f"agent-{len(self.agents)}"
         view = {n: 1 for n, a in self.agents.items() if a.alive}
-        self.agents[name] = Agent(self, name, 2, view, settled=False)
+        self.agents[name] = Agent(self, name, 2, view, stable=False)
 
     def drain(self, agent):
         agent.slots = 0
@@ -279,7 +279,7 @@
         agents = tuple(
             (
                 a.name,
-                (a.alive, a.settled, a.slots, tuple(sorted(a.view))),
+                (a.alive, a.stable, a.slots, tuple(sorted(a.view))),
                 (tuple(a.owned), tuple(sorted(a.gone))),
                 holders(a.state.directory.owners),
                 holders(a.state.directory.homes),
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -10,7 +10,7 @@
 from cornelspan_common.packets import Kind, Packet
 from cornelspan_ownership import promises
 from cornelspan_ownership.directory import AgentId
-from cornelspan_ownership.group import Refused, Wait
+from cornelspan_ownership.group import Rejected, RetryLater
 from cornelspan_ownership.ownership import Ownership
 from ownership_model import Agent, World
 
@@ -160,7 +160,7 @@
 
 def test_planted_fault_the_senders_view_is_not_compared_is_found(monkeypatch):
     def by_time_alone(self, flow, listed):
-        return not self.group.is_settled()
+        return not self.group.is_stable()
 
     monkeypatch.setattr(Ownership, "_must_claim", by_time_alone)
     assert any("two owners" in problem for _, problem in problems(600))
@@ -230,14 +230,14 @@
     assert sum(len(agent.owned) for agent in world.agents.values()) == 1
 
 
-@pytest.mark.parametrize(("settled", "opened"), [(True, Refused), (False, Wait)])
+@pytest.mark.parametrize(("settled", "opened"), [(True, Rejected), (False, RetryLater)])
 def test_open_that_nobody_takes_waits_only_for_a_group_that_changes(settled, opened):
     # In a rolling restart the last agent leaves while its successors have told no load
     # yet. The open is repeated anyway, so the flow waits for them; a group that has
     # settled has nobody to wait for, and the caller hears so at once.
     agent = agent_alone(slots=0)
     agent.view = {}
-    agent.settled = settled
+    agent.stable = settled
     opening = agent.state.open(packet(), ("agent-0",), 0)
     with pytest.raises(StopIteration) as ended:
         opening.send(None)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,7 +1,13 @@
 """Choice of a flow's owner by load."""
 
 from cornelspan_common.ownership import Load
-from cornelspan_ownership.placement import Loads, OwnLoad, busy_limit, choose, takes
+from cornelspan_ownership.placement import (
+    LoadTable,
+    OwnLoad,
+    accepts_handoff,
+    busy_limit,
+    rank_targets,
+)
 
 FULL = OwnLoad(slots=2, running=2)
 
@@ -11,7 +17,7 @@
 
 
 def loads_of(*loads):
-    known = Loads()
+    known = LoadTable()
     for one in loads:
         known.update(one)
     return known
@@ -19,39 +25,39 @@
 
 def test_own_free_slot_comes_first():
     loads = loads_of(load("a", 0))
-    assert choose(OwnLoad(slots=2, running=1), loads, ["a"]) == ["", "a"]
+    assert rank_targets(OwnLoad(slots=2, running=1), loads, ["a"]) == ["", "a"]
 
 
 def test_full_home_hands_to_the_least_loaded():
     loads = loads_of(load("a", 2), load("b", 1), load("c", 2))
-    assert choose(FULL, loads, ["a", "b", "c"])[0] == "b"
+    assert rank_targets(FULL, loads, ["a", "b", "c"])[0] == "b"
 
 
 def test_among_equals_the_flow_rank_decides():
     loads = loads_of(load("a", 1), load("b", 1))
-    assert choose(FULL, loads, ["b", "a"])[0] == "b"
-    assert choose(FULL, loads, ["a", "b"])[0] == "a"
+    assert rank_targets(FULL, loads, ["b", "a"])[0] == "b"
+    assert rank_targets(FULL, loads, ["a", "b"])[0] == "a"
 
 
 def test_leaving_or_ejected_peer_is_never_chosen():
     loads = loads_of(load("a", 0, slots=0), load("b", 9))
-    assert choose(FULL, loads, ["a", "b"]) == ["", "b"]
-    assert choose(None, loads, ["a", "b"]) == ["b"]
+    assert rank_targets(FULL, loads, ["a", "b"]) == ["", "b"]
+    assert rank_targets(None, loads, ["a", "b"]) == ["b"]
 
 
 def test_slow_endpoint_is_used_last_even_when_free():
     loads = loads_of(load("a", 1), load("b", 1))
     slow_home = OwnLoad(slots=2, running=0, mean_seconds=0.15)
-    assert choose(slow_home, loads, ["a", "b"]) == ["a", "b", ""]
+    assert rank_targets(slow_home, loads, ["a", "b"]) == ["a", "b", ""]
 
 
 def test_endpoint_without_a_measure_counts_as_usual():
     # An endpoint starts among faster ones than any default figure. Taken for slow it
     # would be used last, never be measured, and stay without work for good.
     loads = loads_of(load("a", 0, mean=0.001), load("b", 0, mean=0.001))
-    assert choose(OwnLoad(slots=2, running=0), loads, ["a", "b"])[0] == ""
+    assert rank_targets(OwnLoad(slots=2, running=0), loads, ["a", "b"])[0] == ""
     assert (
-        choose(
+        rank_targets(
             FULL, loads_of(load("a", 1, mean=0.001), load("b", 0, mean=0.0)), ["a", "b"]
         )[0]
         == "b"
@@ -60,16 +66,18 @@
 
 def test_chance_differences_of_service_time_do_not_count():
     loads = loads_of(load("a", 1, mean=0.04), load("b", 0, mean=0.06))
-    assert choose(FULL, loads, ["a", "b"])[0] == "b"
+    assert rank_targets(FULL, loads, ["a", "b"])[0] == "b"
 
 
 def test_peer_that_filled_up_refuses_until_the_last_try():
     # The home believes a peer idle that has filled up since. Taken there, the flow
     # would wait behind others while slots are free elsewhere.
     loads = loads_of(load("a", 0))
-    assert not takes(FULL, busy_limit(loads, "a", tries=2))
-    assert takes(FULL, busy_limit(loads, "a", tries=1))
-    assert not takes(OwnLoad(slots=0, running=0), busy_limit(loads, "a", tries=1))
+    assert not accepts_handoff(FULL, busy_limit(loads, "a", attempts_left=2))
+    assert accepts_handoff(FULL, busy_limit(loads, "a", attempts_left=1))
+    assert not accepts_handoff(
+        OwnLoad(slots=0, running=0), busy_limit(loads, "a", attempts_left=1)
+    )
 
 
 def test_hand_offs_under_way_count():
@@ -78,8 +86,8 @@
     loads = loads_of(load("a", 0), load("b", 1))
     chosen = []
     for _ in range(3):
-        name = choose(FULL, loads, ["a", "b"])[0]
-        loads.sent(name)
+        name = rank_targets(FULL, loads, ["a", "b"])[0]
+        loads.add_unanswered(name)
         chosen.append(name)
     assert sorted(chosen) == ["a", "a", "b"]
 
