--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -78,7 +78,7 @@
             self.agents,
             tasks,
         )
-        self.router.measure = self.load
+        self.router.measure_load = self.load
         self.leaving = False
 
     @property
@@ -116,7 +116,7 @@
     async def serve_packets(self, peer: Peer) -> None:
         """Route the packets of one balancer or agent until its stream ends."""
         router = self.router
-        router.met(peer)
+        router.peer_connected(peer)
         try:
             async for batch in batches(peer):
                 for message in batch:
@@ -127,7 +127,7 @@
                     else:
                         self._receive(peer, message)
         finally:
-            router.parted(peer)
+            router.peer_disconnected(peer)
             self.gateway.lost(peer.name)
 
     def _receive(self, peer: Peer, message: Message) -> None:
@@ -146,16 +146,16 @@
         measured = self.gateway.own_load()
         if measured is None:
             return OwnLoad(0, 0)
-        waiting = measured.waiting + self.router.silent_flows()
+        waiting = measured.waiting + self.router.count_flows_without_data()
         return dataclasses.replace(measured, waiting=waiting)
 
     def renew(self, incarnation: int) -> None:
         """Begin a new life, since others took the present one for ended."""
-        self.router.renew(incarnation)
+        self.router.change_incarnation(incarnation)
         self.hello = msgspec.structs.replace(self.hello, incarnation=incarnation)
         for holder in (self.fabrics, self.agents, self.server):
             holder.hello = self.hello
-        self.router.renew(incarnation)
+        self.router.change_incarnation(incarnation)
 
     def link_peers(self) -> None:
         """Keep a stream to each other agent of the service."""
@@ -221,8 +221,10 @@
         metrics.count("opens_handed_off", "Handed off", lambda: opens.handed_off)
         metrics.count("opens_claimed", "Claimed before", lambda: opens.claimed)
         metrics.count("opens_waited", "Left to be repeated", lambda: opens.waits)
-        metrics.count("packets_passed", "Passed to an agent", lambda: routing.passed)
-        metrics.count("packets_foreign", "Of another service", lambda: routing.foreign)
+        metrics.count("packets_passed", "Passed to an agent", lambda: routing.forwarded)
+        metrics.count(
+            "packets_foreign", "Of another service", lambda: routing.wrong_service
+        )
         metrics.count("packets_unknown", "Of unknown flows", lambda: routing.unknown)
 
     async def serve_flow(self, channel: Channel) -> None:
@@ -288,7 +290,7 @@
                 state.flows.sweep(lambda: state.profile.idle_seconds), name="sweep"
             )
             members.announce(state.announcement())
-            tasks.start(state.router.watch(), name="watch peers")
+            tasks.start(state.router.run(), name="watch peers")
             counts = state.gateway.objectives
             reporting = report_counts(counts, settings, state.control.plane)
             tasks.start(reporting, name="report counts")
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/flows.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/flows.py
@@ -31,7 +31,7 @@
     """The owned flows, and the ended ones that may still have to answer.
 
     ``serve`` carries one flow to the backend server; it returns when the flow is over.
-    ``began`` is called with a flow's channel at its open, ``forgotten`` when an ended
+    ``on_opened`` is called with a flow's channel at its open, ``on_removed`` when an ended
     flow has no more to answer.
     """
 
@@ -45,8 +45,8 @@
         self.owned: dict[int, Channel] = {}
         self.ended: dict[int, Channel] = {}
         self.counts = FlowCounts()
-        self.began: Callable[[Channel], None] = lambda channel: None
-        self.forgotten: Callable[[int], None] = lambda flow: None
+        self.on_opened: Callable[[Channel], None] = lambda channel: None
+        self.on_removed: Callable[[int], None] = lambda flow: None
         self.loop = asyncio.get_running_loop()
 
     def find(self, flow: int) -> Channel | None:
@@ -64,7 +64,7 @@
         )
         self.owned[packet.flow] = channel
         self.counts.opened += 1
-        self.began(channel)
+        self.on_opened(channel)
         channel.accept(self.name)
         self.tasks.start(self._run(channel), name=f"flow {packet.flow:016x}")
 
@@ -83,12 +83,12 @@
             self.counts.reset += 1
         del self.owned[channel.flow]
         self.ended[channel.flow] = channel
-        self.loop.call_later(LINGER_SECONDS, self._forget, channel)
+        self.loop.call_later(LINGER_SECONDS, self._remove, channel)
 
-    def _forget(self, channel: Channel) -> None:
+    def _remove(self, channel: Channel) -> None:
         channel.stop()
         self.ended.pop(channel.flow, None)
-        self.forgotten(channel.flow)
+        self.on_removed(channel.flow)
 
     async def sweep(self, idle_seconds: Callable[[], float]) -> None:
         """Reset flows that have been silent for longer than their profile allows."""
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/localflows.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/local_flows.py
@@ -13,8 +13,8 @@
     """Packets by what became of them; ``foreign`` are of another service."""
 
     delivered: int = 0
-    passed: int = 0
-    foreign: int = 0
+    forwarded: int = 0
+    wrong_service: int = 0
     unknown: int = 0
     unreachable: int = 0
 
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
@@ -23,7 +23,7 @@
 from cornelspan_common.ownership import Claim, ClaimAnswer, Handoff, HandoffAnswer
 from cornelspan_common.packets import Packet
 from cornelspan_ownership.directory import AgentId, Directory, FlowAgents
-from cornelspan_ownership.group import (
+from cornelspan_ownership.interfaces import (
     AnswerResult,
     CallError,
     CallPeers,
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
@@ -11,7 +11,7 @@
 from cornelspan_control.members import Members
 from cornelspan_control.ranking import Ranking
 from cornelspan_ownership.directory import AgentId
-from cornelspan_ownership.group import Answer, AnswerResult, CallError
+from cornelspan_ownership.interfaces import Answer, AnswerResult, CallError
 
 STABLE_SECONDS = 15.0
 CALL_TIMEOUT_SECONDS = 0.5
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
@@ -20,19 +20,19 @@
 from cornelspan_common.tasks import Tasks
 from cornelspan_control.configuration import Configuration
 from cornelspan_control.members import Members
-from cornelspan_ownership import promises
+from cornelspan_ownership import handlers
 from cornelspan_ownership.directory import AgentId, Directory
 from cornelspan_ownership.flows import Flows
-from cornelspan_ownership.group import ForwardTo, OwnedBy, Rejected, RetryLater
-from cornelspan_ownership.loadnews import LoadNews, SilentFlows
-from cornelspan_ownership.localflows import LocalFlows, RoutingCounts
+from cornelspan_ownership.interfaces import ForwardTo, OwnedBy, Rejected, RetryLater
+from cornelspan_ownership.load_reporting import FlowsWithoutData, LoadReporter
+from cornelspan_ownership.local_flows import LocalFlows, RoutingCounts
 from cornelspan_ownership.ownership import OPEN_HOPS, Ownership
 from cornelspan_ownership.peers import PeerCalls, ServiceGroup
 from cornelspan_ownership.placement import OwnLoad, load_message
 
 IDLE_SECONDS = 600.0
-LOOK_SECONDS = 0.02
-DOUBT_SECONDS = 5.0
+CHECK_INTERVAL_SECONDS = 0.02
+SUSPECT_SECONDS = 5.0
 OWNER_LOST = "owner lost"
 
 candidates_decoder = msgspec.msgpack.Decoder(tuple[str, ...])
@@ -67,11 +67,11 @@
         self.counts = RoutingCounts()
         self.leaving = False
         self.retired = False
-        self.doubted: list[tuple[float, AgentId]] = []
+        self.suspected: list[tuple[float, AgentId]] = []
         self.inbound: dict[str, Peer] = {}
         self.homes: dict[int, str] = {}
-        self.silent = SilentFlows()
-        self.measure: Callable[[], OwnLoad] = self.flow_load
+        self.without_data = FlowsWithoutData()
+        self.measure_load: Callable[[], OwnLoad] = self.flow_load
         clock = asyncio.get_running_loop().time
         self.clock = clock
         self.group = ServiceGroup(self.agent_id, settings.service, members, clock)
@@ -85,24 +85,24 @@
             clock,
             Directory(idle_seconds=IDLE_SECONDS),
         )
-        self.news = LoadNews(self.load_message())
-        flows.forgotten = self._ended
-        flows.began = lambda channel: self.silent.add(channel, clock())
+        self.load_reporter = LoadReporter(self.load_message())
+        flows.on_removed = self._flow_ended
+        flows.on_opened = lambda channel: self.without_data.add(channel, clock())
 
     def flow_load(self) -> OwnLoad:
         """Return the load by flows alone, where nothing measures requests."""
         return OwnLoad(self.settings.slots, len(self.flows.owned))
 
-    def silent_flows(self) -> int:
+    def count_flows_without_data(self) -> int:
         """Return how many flows were opened a moment ago and have sent nothing yet."""
-        return self.silent.count(self.clock())
+        return self.without_data.count(self.clock())
 
     def load(self) -> OwnLoad:
         """Return this agent's load; without slots while it takes nothing new."""
         full = len(self.flows.owned) >= self.settings.connections
         if self.leaving or full:
             return OwnLoad(0, len(self.flows.owned))
-        return self.measure()
+        return self.measure_load()
 
     def load_message(self) -> Load:
         """Return what peers are told of the load."""
@@ -125,14 +125,14 @@
         """Return the other agents of the service that a stream is open to."""
         return [name for name in self.group.incarnations if name != self.name]
 
-    def met(self, peer: Peer) -> None:
+    def peer_connected(self, peer: Peer) -> None:
         """Take in a stream from another process."""
         if peer.hello is not None and peer.hello.role == "agent":
             peer.send(self.load_message())
         if self.agents.get(peer.name) is not peer:
             self.inbound[peer.name] = peer
 
-    def parted(self, peer: Peer) -> None:
+    def peer_disconnected(self, peer: Peer) -> None:
         """Forget a stream that has ended."""
         if self.inbound.get(peer.name) is peer:
             del self.inbound[peer.name]
@@ -144,25 +144,25 @@
                 self.group.add_peer(message.name, message.incarnation)
                 self.ownership.loads.update(message)
             case Claim():
-                self._meet(peer, message)
-                self._reply(peer, promises.answer_claim(self.ownership, message))
+                self._add_sender(peer, message)
+                self._reply(peer, handlers.answer_claim(self.ownership, message))
             case Handoff():
-                self._meet(peer, message)
-                self._take_over(peer, message)
+                self._add_sender(peer, message)
+                self._handle_handoff(peer, message)
             case ClaimAnswer() | HandoffAnswer():
                 self.calls.handle_answer(peer.name, message)
             case Owner():
-                promises.take_owner(self.ownership, message)
+                handlers.take_owner(self.ownership, message)
             case _:
                 peer.refused += 1
 
     def route(self, routed: Routed) -> None:
         """Deliver a packet, open its flow, or pass it on."""
         packet = routed.packet
-        if not self._is_ours(packet):
+        if not self._is_own_service(packet):
             # A balancer with an older configuration may still think the address ours.
             # Taken in, the packet would reach a backend server of another service.
-            self.counts.foreign += 1
+            self.counts.wrong_service += 1
             return
         channel = self.flows.find(packet.flow)
         if channel is not None:
@@ -171,26 +171,26 @@
         if packet.kind == Kind.OPEN and not self.retired:
             self._route_open(routed)
             return
-        self._pass_on(routed)
+        self._forward(routed)
 
     def _deliver(self, routed: Routed) -> None:
         packet = routed.packet
         channel = self.flows.find(packet.flow)
         if channel.address != packet.address:
-            self.counts.foreign += 1
+            self.counts.wrong_service += 1
             return
         self.counts.delivered += 1
         if channel.error is not None:
             # The fabric's end may have missed that the flow was reset.
-            self._refuse(packet, channel.error.reason)
+            self._send_reset(packet, channel.error.reason)
         elif packet.kind == Kind.OPEN:
             channel.accept(self.name)
         else:
             channel.receive(packet)
         if routed.hops:
-            self._hint(routed, self.name)
+            self._send_hint(routed, self.name)
 
-    def _is_ours(self, packet: Packet) -> bool:
+    def _is_own_service(self, packet: Packet) -> bool:
         service = self.configuration.by_address.get(packet.address)
         return service is not None and service.name == self.settings.service
 
@@ -198,11 +198,11 @@
         located = self.ownership.locate(routed.packet.flow)
         match located:
             case OwnedBy(owner):
-                self._send_on(routed, owner)
+                self._forward_to(routed, owner)
             case Rejected(reason):
-                self._refuse(routed.packet, reason)
+                self._send_reset(routed.packet, reason)
             case ForwardTo(home) if routed.hops < OPEN_HOPS:
-                self._send_on(routed, home)
+                self._forward_to(routed, home)
             case _:
                 self.tasks.start(self._open(routed), name="open")
 
@@ -212,70 +212,70 @@
         opened = await self.ownership.open(routed.packet, candidates, routed.hops)
         match opened:
             case OwnedBy(owner):
-                self._hint(routed, owner)
+                self._send_hint(routed, owner)
             case ForwardTo(home):
-                self._send_on(routed, home)
+                self._forward_to(routed, home)
             case Rejected(reason):
-                self._refuse(routed.packet, reason)
+                self._send_reset(routed.packet, reason)
 
-    def _pass_on(self, routed: Routed) -> None:
+    def _forward(self, routed: Routed) -> None:
         """Give a packet of a flow that isn't here to whoever may have it."""
         flow = routed.packet.flow
         pending = self.ownership.pending.get(flow)
         if pending is not None:
-            self._send_on(routed, pending.target)
+            self._forward_to(routed, pending.target)
             return
         match self.ownership.locate(flow):
             case OwnedBy(owner):
-                self._send_on(routed, owner)
+                self._forward_to(routed, owner)
             case Rejected(reason) | RetryLater(reason):
-                self._refuse(routed.packet, reason)
+                self._send_reset(routed.packet, reason)
             case ForwardTo(home) if routed.hops < OPEN_HOPS:
-                self._send_on(routed, home)
+                self._forward_to(routed, home)
             case _:
-                self._ask_round(routed)
+                self._forward_to_next(routed)
 
-    def _ask_round(self, routed: Routed) -> None:
+    def _forward_to_next(self, routed: Routed) -> None:
         """Give a packet to the next candidate; once all had it, the flow is unknown."""
         if routed.hops == 0:
-            self._hint(routed, "")
+            self._send_hint(routed, "")
         candidates = candidates_decoder.decode(routed.candidates)
-        following = self._following(candidates)
-        if following and routed.hops < 2 * len(candidates):
-            self._send_on(routed, following[0])
+        next_names = self._next_candidates(candidates)
+        if next_names and routed.hops < 2 * len(candidates):
+            self._forward_to(routed, next_names[0])
             return
         self.counts.unknown += 1
         if routed.packet.kind == Kind.OPEN:
             # A retired agent and one that still takes it for the home have passed an
             # open to and fro. The end repeats it, and by then the retired one is gone.
             return
-        self._refuse(routed.packet, "unknown flow")
+        self._send_reset(routed.packet, "unknown flow")
 
-    def _following(self, candidates: tuple[str, ...]) -> list[str]:
+    def _next_candidates(self, candidates: tuple[str, ...]) -> list[str]:
         """Return the candidates after this agent, round to the ones before it."""
         at = candidates.index(self.name) + 1 if self.name in candidates else 0
-        ring = candidates[at:] + candidates[:at]
+        others = candidates[at:] + candidates[:at]
         return [
-            name for name in ring if name != self.name and self.group.find_agent(name)
+            name for name in others if name != self.name and self.group.find_agent(name)
         ]
 
-    def _send_on(self, routed: Routed, name: str) -> None:
+    def _forward_to(self, routed: Routed, name: str) -> None:
         """Send a packet to another agent; without a stream the ends repeat it."""
         onward = Routed(
             routed.packet, routed.candidates, routed.hops + 1, routed.sender
         )
         if name and self.send(name, onward):
-            self.counts.passed += 1
+            self.counts.forwarded += 1
         else:
             self.counts.unreachable += 1
 
-    def _hint(self, routed: Routed, owner: str) -> None:
+    def _send_hint(self, routed: Routed, owner: str) -> None:
         """Tell the balancer that sent a packet where the next ones should go."""
         balancer = self.inbound.get(routed.sender)
         if balancer is not None:
             balancer.send(Hint(routed.packet.flow, owner))
 
-    def _refuse(self, packet: Packet, reason: str) -> None:
+    def _send_reset(self, packet: Packet, reason: str) -> None:
         """Tell the fabric's end at once that nobody will carry its flow."""
         if packet.kind == Kind.RESET:
             return
@@ -289,52 +289,52 @@
             )
         )
 
-    def _meet(self, peer: Peer, asked: Claim | Handoff) -> None:
+    def _add_sender(self, peer: Peer, asked: Claim | Handoff) -> None:
         if asked.service == self.settings.service and asked.home == peer.name:
             self.group.add_peer(asked.home, asked.incarnation)
 
     def _reply(self, peer: Peer, answer: ClaimAnswer | HandoffAnswer | None) -> None:
         if answer is None:
             peer.refused += 1
-            self.counts.foreign += 1
+            self.counts.wrong_service += 1
         else:
             peer.send(answer)
 
-    def _take_over(self, peer: Peer, handoff: Handoff) -> None:
-        if not self._is_ours(handoff.packet):
+    def _handle_handoff(self, peer: Peer, handoff: Handoff) -> None:
+        if not self._is_own_service(handoff.packet):
             self._reply(peer, None)
             return
-        answer = promises.answer_handoff(self.ownership, handoff)
+        answer = handlers.answer_handoff(self.ownership, handoff)
         if answer is not None and answer.accepted:
             self.homes[handoff.packet.flow] = handoff.home
         self._reply(peer, answer)
 
-    def _ended(self, flow: int) -> None:
+    def _flow_ended(self, flow: int) -> None:
         """Tell a flow's home that it is over."""
         home = self.homes.pop(flow, "")
         self.ownership.directory.end_flow(flow, self.agent_id, self.clock())
         if home:
             self.send(home, Owner(flow, "", self.agent_id.incarnation))
 
-    async def watch(self) -> None:
+    async def run(self) -> None:
         """Note who is gone, and tell the peers of the load, as long as it runs."""
         while True:
-            self.look()
-            await asyncio.sleep(LOOK_SECONDS)
+            self.update()
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Take in what has changed since the last look."""
-        for life in self.group.refresh():
-            self.calls.fail_calls_to(life.name)
-            self.ownership.loads.remove(life.name)
-            seconds = DOUBT_SECONDS if self._hears(life.name) else 0.0
-            self.doubted.append((self.clock() + seconds, life))
-            self._find_new_homes(life.name)
-        self._give_up_doubted()
+        for agent in self.group.refresh():
+            self.calls.fail_calls_to(agent.name)
+            self.ownership.loads.remove(agent.name)
+            seconds = SUSPECT_SECONDS if self._has_stream(agent.name) else 0.0
+            self.suspected.append((self.clock() + seconds, agent))
+            self._move_to_next_homes(agent.name)
+        self._remove_suspected()
         self.ownership.directory.expire(self.clock())
-        self._tell_load()
+        self._send_load()
 
-    def _give_up_doubted(self) -> None:
+    def _remove_suspected(self) -> None:
         """Take the lives for ended that have not spoken for themselves in time.
 
         An agent that was only slow is taken for gone as a dead one is, and goes on
@@ -343,25 +343,25 @@
         anew. Without such a stream nothing speaks against its death.
         """
         now = self.clock()
-        due = [life for until, life in self.doubted if until <= now]
-        self.doubted = [each for each in self.doubted if each[0] > now]
-        for life in due:
-            promises.peer_gone(self.ownership, life.name, life.incarnation)
+        due = [agent for until, agent in self.suspected if until <= now]
+        self.suspected = [each for each in self.suspected if each[0] > now]
+        for agent in due:
+            handlers.peer_gone(self.ownership, agent.name, agent.incarnation)
 
-    def _hears(self, name: str) -> bool:
+    def _has_stream(self, name: str) -> bool:
         """Whether a stream from another agent is open."""
         peer = self.agents.get(name) or self.inbound.get(name)
         return peer is not None and not peer.closed
 
-    def _tell_load(self) -> None:
-        if self.news.is_due(self.load(), self.clock()):
-            news = self.load_message()
-            self.news.note(news, self.clock())
+    def _send_load(self) -> None:
+        if self.load_reporter.is_due(self.load(), self.clock()):
+            message = self.load_message()
+            self.load_reporter.mark_sent(message, self.clock())
             for name in self.group.incarnations:
                 if name != self.name:
-                    self.send(name, news)
+                    self.send(name, message)
 
-    def _find_new_homes(self, gone: str) -> None:
+    def _move_to_next_homes(self, gone: str) -> None:
         """Register the flows owned here whose home is gone with their next home.
 
         The directory has died with the home. Without an entry at the next one each
@@ -376,12 +376,12 @@
         for name in self.group.ranked(flow):
             if name == self.name and not self.retired:
                 return ""
-            known = Owner(flow, owner.name, owner.incarnation)
-            if name != self.name and self.send(name, known):
+            message = Owner(flow, owner.name, owner.incarnation)
+            if name != self.name and self.send(name, message):
                 return name
         return ""
 
-    def renew(self, incarnation: int) -> None:
+    def change_incarnation(self, incarnation: int) -> None:
         """Go on under a new incarnation, since the present one was taken for ended.
 
         Peers have noted the flows owned here as lost with the old life, so they are
--- a/tests/ownership_agents.py
+++ b/tests/ownership_agents.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass, field
 
 from cornelspan_ownership.directory import AgentId, Directory
+from cornelspan_ownership.handlers import peer_gone
 from cornelspan_ownership.ownership import Ownership
 from cornelspan_ownership.placement import OwnLoad, load_message
-from cornelspan_ownership.promises import peer_gone
 
 SERVICE = "order-hub"
 
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -14,9 +14,9 @@
 from cornelspan_common.hashing import name_seed, rank, score
 from cornelspan_common.ownership import Claim
 from cornelspan_common.packets import Kind, Packet
-from cornelspan_ownership.group import CallError
+from cornelspan_ownership.handlers import answer_claim, answer_handoff
+from cornelspan_ownership.interfaces import CallError
 from cornelspan_ownership.ownership import OPEN_HOPS
-from cornelspan_ownership.promises import answer_claim, answer_handoff
 from ownership_agents import Agent
 
 ADDRESS = "127.0.0.1:80"
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -8,9 +8,9 @@
 from cornelspan_common.hashing import name_seed, rank
 from cornelspan_common.ownership import Claim, Handoff
 from cornelspan_common.packets import Kind, Packet
-from cornelspan_ownership import promises
+from cornelspan_ownership import handlers
 from cornelspan_ownership.directory import AgentId
-from cornelspan_ownership.group import Rejected, RetryLater
+from cornelspan_ownership.interfaces import Rejected, RetryLater
 from cornelspan_ownership.ownership import Ownership
 from ownership_model import Agent, World
 
@@ -169,7 +169,7 @@
 def test_planted_fault_late_hand_off_is_taken_is_found(monkeypatch):
     # A home dies just after it sent a hand-off; its successor asks the target before
     # that arrives. A target that forgets the successor's claim makes a second owner.
-    monkeypatch.setattr(promises, "_other_home", lambda *_: None)
+    monkeypatch.setattr(handlers, "_other_home", lambda *_: None)
     settings = SMALL["late hand-off of a dead home"]
     states, problem = explore(FLOW, SOAK_STATES, **settings)
     assert "two owners" in problem, states
@@ -186,11 +186,11 @@
 
 def test_question_of_another_service_is_not_answered():
     state = agent_alone().state
-    load = promises.load_message("ticket-print", "agent-1", 1, state.local.load())
+    load = handlers.load_message("ticket-print", "agent-1", 1, state.local.load())
     claim = Claim("ticket-print", FLOW, "agent-1", 1, 1)
     handoff = Handoff("ticket-print", packet(), "agent-1", 1, 1, "", -1, load)
-    assert promises.answer_claim(state, claim) is None
-    assert promises.answer_handoff(state, handoff) is None
+    assert handlers.answer_claim(state, claim) is None
+    assert handlers.answer_handoff(state, handoff) is None
     assert not state.local.owned
 
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -64,7 +64,7 @@
         )
         router = Router(SETTINGS, 1, configuration, members, flows, agents, tasks)
         balancer = FakePeer("balancer-1", "balancer")
-        router.met(balancer)
+        router.peer_connected(balancer)
         yield SimpleNamespace(
             router=router,
             members=members,
@@ -101,7 +101,7 @@
     world.router.receive(world.agents["hub-2"], handoff)
     await asyncio.sleep(0)
     assert not world.router.flows.owned
-    assert world.router.counts.foreign == 2
+    assert world.router.counts.wrong_service == 2
     assert world.to_fabric == []
 
 
@@ -109,7 +109,7 @@
     world.router.flows.open(routed(Kind.OPEN).packet)
     world.router.configuration.by_address[OTHER].name = "order-hub"
     world.router.route(routed(Kind.DATA, address=OTHER))
-    assert world.router.counts.foreign == 1
+    assert world.router.counts.wrong_service == 1
 
 
 async def test_unknown_flow_goes_round_all_candidates_and_is_then_reset(world):
@@ -136,11 +136,11 @@
 async def test_flow_of_a_dead_owner_is_refused_at_once(world):
     # The owner dies. Placed again, the flow's new owner might run once more what the
     # dead one has run; left alone, its caller would wait. So it is told at once.
-    world.router.look()
+    world.router.update()
     world.router.receive(world.agents["hub-2"], Owner(7, "hub-3", 1))
     world.agents["hub-3"].closed = True
     world.members.remove("hub-3", 1)
-    world.router.look()
+    world.router.update()
     for kind in (Kind.OPEN, Kind.DATA):
         world.router.route(routed(kind))
     assert [packet.body for packet in world.to_fabric] == [b"owner lost"] * 2
@@ -150,18 +150,18 @@
     # The owner is so slow that others take it for dead, but its stream is open. Its
     # flow must not be reset: it wakes, goes on under a new incarnation and registers
     # the flow anew, and the packets reach it again.
-    world.router.look()
+    world.router.update()
     owner = world.agents["hub-3"]
     world.router.receive(world.agents["hub-2"], Owner(7, "hub-3", 1))
     world.members.remove("hub-3", 1)
-    world.router.look()
+    world.router.update()
     world.router.route(routed(Kind.DATA))
     assert world.to_fabric == []
     world.members.announce(msgspec.structs.replace(announce("hub-3"), incarnation=2))
-    world.router.look()
+    world.router.update()
     world.router.receive(owner, Owner(7, "hub-3", 2))
-    world.router.doubted = [(0.0, life) for _, life in world.router.doubted]
-    world.router.look()
+    world.router.suspected = [(0.0, agent) for _, agent in world.router.suspected]
+    world.router.update()
     before = len(sent(owner, Routed))
     world.router.route(routed(Kind.DATA))
     assert len(sent(owner, Routed)) == before + 1
@@ -169,29 +169,29 @@
 
 
 async def test_owner_that_stays_silent_is_given_up(world):
-    world.router.look()
+    world.router.update()
     world.router.receive(world.agents["hub-2"], Owner(7, "hub-3", 1))
     world.members.remove("hub-3", 1)
-    world.router.look()
-    world.router.doubted = [(0.0, life) for _, life in world.router.doubted]
-    world.router.look()
+    world.router.update()
+    world.router.suspected = [(0.0, agent) for _, agent in world.router.suspected]
+    world.router.update()
     world.router.route(routed(Kind.DATA))
     assert [packet.body for packet in world.to_fabric] == [b"owner lost"]
 
 
 async def test_owner_registers_with_the_next_home_when_its_home_is_gone(world):
-    world.router.look()
+    world.router.update()
     world.router.flows.open(routed(Kind.OPEN).packet)
     world.router.homes[7] = "hub-3"
     world.members.remove("hub-3", 1)
-    world.router.look()
+    world.router.update()
     ranked = world.router.group.ranked(7)
     told = sent(world.agents["hub-2"], Owner)
     assert told == ([Owner(7, "hub-1", 1)] if ranked[0] == "hub-2" else [])
 
 
 async def test_retiring_agent_hands_its_directory_over(world):
-    world.router.look()
+    world.router.update()
     flows = range(100)
     for flow in flows:
         world.router.ownership.directory.owners.put(flow, AgentId("hub-3", 1), 0.0)
@@ -201,9 +201,9 @@
 
 
 async def test_leaving_agent_keeps_no_new_flow_and_tells_so_at_once(world):
-    world.router.look()
+    world.router.update()
     world.router.leaving = True
-    world.router.look()
+    world.router.update()
     told = world.agents["hub-2"].sent[-1]
     assert told.slots == 0
     load = world.router.load_message()
