--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -220,7 +220,7 @@
         metrics.count("opens_kept", "Placed here by this home", lambda: opens.kept)
         metrics.count("opens_handed_off", "Handed off", lambda: opens.handed_off)
         metrics.count("opens_claimed", "Claimed before", lambda: opens.claimed)
-        metrics.count("opens_waited", "Left to be repeated", lambda: opens.waits)
+        metrics.count("opens_waited", "Left to be repeated", lambda: opens.deferred)
         metrics.count("packets_passed", "Passed to an agent", lambda: routing.forwarded)
         metrics.count(
             "packets_foreign", "Of another service", lambda: routing.wrong_service
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
@@ -23,9 +23,9 @@
 from cornelspan_control.members import Members
 
 LEAVE_SECONDS = 0.5
-SETTLE_SECONDS = 1.0
-JOIN_SECONDS = 10.0
-JOIN_STEP_SECONDS = 0.05
+JOIN_DELAY_SECONDS = 1.0
+JOIN_TIMEOUT_SECONDS = 10.0
+JOIN_POLL_SECONDS = 0.05
 
 log = get_log(__name__)
 
@@ -109,42 +109,42 @@
             leaving=self.leaving,
         )
 
-    def renew(self, incarnation: int) -> None:
+    def change_incarnation(self, incarnation: int) -> None:
         """Begin a new life, since others took the present one for ended."""
         self.hello = msgspec.structs.replace(self.hello, incarnation=incarnation)
-        for holder in (self.fabrics, self.agents, self.server):
-            holder.hello = self.hello
+        for sender in (self.fabrics, self.agents, self.server):
+            sender.hello = self.hello
 
-    def link_agents(self) -> None:
+    def connect_agents(self) -> None:
         """Keep a stream to each agent that is known."""
         agents = [m for m in self.members.known.values() if m.role == "agent"]
         for agent in agents:
             self.agents.want(agent.name, Address(host=agent.host, port=agent.port))
         names = {agent.name for agent in agents}
-        for gone in set(self.agents.wanted) - names:
-            self.forwarder.learned.forget_owner(gone)
+        for name in set(self.agents.wanted) - names:
+            self.forwarder.learned.forget_owner(name)
         self.agents.keep_only(names)
 
     async def join(self) -> None:
         """Open the streams to the fabrics once this balancer knows where to forward.
 
         One that knows only some agents names other homes than the rest do, and flows
-        opened there would be found by nobody else. After ``JOIN_SECONDS`` it joins all
+        opened there would be found by nobody else. After ``JOIN_TIMEOUT_SECONDS`` it joins all
         the same: agents that can't be reached must not keep it out for ever.
         """
-        deadline = time.monotonic() + JOIN_SECONDS
-        await asyncio.sleep(SETTLE_SECONDS)
-        while time.monotonic() < deadline and not self.informed:
-            await asyncio.sleep(JOIN_STEP_SECONDS)
+        deadline = time.monotonic() + JOIN_TIMEOUT_SECONDS
+        await asyncio.sleep(JOIN_DELAY_SECONDS)
+        while time.monotonic() < deadline and not self.is_ready:
+            await asyncio.sleep(JOIN_POLL_SECONDS)
         for address in self.settings.fabrics:
             self.fabrics.want(str(address), address)
 
     @property
-    def informed(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether a configuration is in force and all known agents are linked."""
         known = len(self.agents.wanted)
-        linked = known > 0 and len(self.agents.open) == known
-        return linked and self.configuration.revision > 0
+        connected = known > 0 and len(self.agents.open) == known
+        return connected and self.configuration.revision > 0
 
     async def leave(self) -> None:
         """Stop in order: have the fabrics spray elsewhere, then forward the rest."""
@@ -193,8 +193,8 @@
                 members,
                 hello=state.hello,
                 announcement=state.announcement,
-                renew=state.renew,
-                on_members=state.link_agents,
+                renew=state.change_incarnation,
+                on_members=state.connect_agents,
                 tls=tls.client,
             ) as state.control,
             serve_peers(
@@ -205,7 +205,7 @@
                 tls=tls.server,
             ) as state.server,
         ):
-            state.control.plane.collect = state.levels.take
+            state.control.plane.collect = state.levels.add_counts
             tasks.start(state.levels.run(state.control.plane), name="service levels")
             tasks.start(state.join(), name="join the fabrics")
             tasks.start(reload_tls(tls), name="reload TLS files")
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/forwarding.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/forwarding.py
@@ -17,7 +17,7 @@
 from cornelspan_control.members import Members
 from cornelspan_control.ranking import Candidates, Ranking
 
-ROUTES = 65_536
+MAX_ROUTES = 65_536
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,16 +63,16 @@
         self.ranking = Ranking(members)
         self.learned = Learned(learned_flows)
         self.routes: dict[int, Route] = {}
-        self.seen = (-1, -1, -1)
+        self.routes_version = (-1, -1, -1)
         self.counts = ForwardingCounts()
 
     def forward(self, packet: Packet) -> None:
         """Send a packet on; one that has nowhere to go is counted and dropped."""
-        if self.seen != self._version():
-            self._begin_anew()
+        if self.routes_version != self._current_version():
+            self._clear_routes()
         route = self.routes.get(packet.flow)
         if route is None or route.address != packet.address:
-            route = self._route(packet)
+            route = self._find_route(packet)
             if route is None:
                 return
         route.peer.send_packet(Routed(packet, route.encoded, 0, self.name))
@@ -84,7 +84,7 @@
         self.learned.learn(hint.flow, hint.owner)
         self.routes.pop(hint.flow, None)
 
-    def _version(self) -> tuple[int, int, int]:
+    def _current_version(self) -> tuple[int, int, int]:
         """What routes follow from; they hold until one of these moves."""
         return (
             self.members.version,
@@ -92,11 +92,11 @@
             self.links.version,
         )
 
-    def _begin_anew(self) -> None:
-        self.seen = self._version()
+    def _clear_routes(self) -> None:
+        self.routes_version = self._current_version()
         self.routes.clear()
 
-    def _route(self, packet: Packet) -> Route | None:
+    def _find_route(self, packet: Packet) -> Route | None:
         """Find where a flow's packets go, and keep it."""
         service = self.configuration.by_address.get(packet.address)
         if service is None:
@@ -105,17 +105,17 @@
         candidates = self.ranking.candidates(service.name, packet.flow)
         peer = self.links.open.get(self.learned.owner(packet.flow))
         if peer is None:
-            peer = self._first_open(candidates)
+            peer = self._first_connected(candidates)
         if peer is None:
-            self._count_unsent(candidates)
+            self._count_dropped(candidates)
             return None
-        if len(self.routes) >= ROUTES:
+        if len(self.routes) >= MAX_ROUTES:
             self.routes.clear()
         route = Route(packet.address, peer, candidates.encoded)
         self.routes[packet.flow] = route
         return route
 
-    def _first_open(self, candidates: Candidates) -> Peer | None:
+    def _first_connected(self, candidates: Candidates) -> Peer | None:
         """Return the stream to the best candidate that has one."""
         for name in candidates.names:
             peer = self.links.open.get(name)
@@ -123,7 +123,7 @@
                 return peer
         return None
 
-    def _count_unsent(self, candidates: Candidates) -> None:
+    def _count_dropped(self, candidates: Candidates) -> None:
         if candidates.names:
             self.counts.no_stream += 1
         else:
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
@@ -1,7 +1,7 @@
 """A relay balancer's part in service levels: collect, seal, and alert.
 
 levels = ServiceLevels(configuration)
-peer.send(levels.take(counts, peer.hello.datacentre))
+peer.send(levels.add_counts(counts, peer.hello.datacentre))
 tasks.start(levels.run(plane), name="service levels")
 """
 
@@ -49,7 +49,7 @@
         self.burns: dict[str, Burn] = {}
         self.firing: set[tuple[str, str]] = set()
 
-    def take(self, counts: ServiceCounts, datacentre: str) -> Sealed:
+    def add_counts(self, counts: ServiceCounts, datacentre: str) -> Sealed:
         """Take in an agent's counts and return what it need not send again.
 
         Counts go by the agent's data centre, not the relay's: one without balancers
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/handlers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/handlers.py
@@ -12,11 +12,11 @@
 from cornelspan_ownership.placement import accepts_handoff, load_message
 
 
-def answer_claim(state: Ownership, claim: Claim) -> ClaimAnswer | None:
+def answer_claim(ownership: Ownership, claim: Claim) -> ClaimAnswer | None:
     """Answer a peer that wants to place a flow; None if it is no peer of ours."""
-    if not _is_peer(state, claim):
+    if not _is_peer(ownership, claim):
         return None
-    owner, home = _promise(state, claim)
+    owner, home = _answer_or_record_claim(ownership, claim)
     return ClaimAnswer(
         claim.flow,
         claim.question,
@@ -27,93 +27,97 @@
     )
 
 
-def answer_handoff(state: Ownership, handoff: Handoff) -> HandoffAnswer | None:
+def answer_handoff(ownership: Ownership, handoff: Handoff) -> HandoffAnswer | None:
     """Take a flow or refuse it; None if it comes from no peer of ours."""
-    if not _is_peer(state, handoff):
+    if not _is_peer(ownership, handoff):
         return None
-    state.loads.update(handoff.load)
+    ownership.loads.update(handoff.load)
     flow = handoff.packet.flow
-    if state.local.owns(flow):
-        return _handoff_answer(state, handoff, True, None)
-    asker = AgentId(handoff.home, handoff.incarnation)
-    against = _other_home(state, flow, asker, handoff.yielded)
-    if against is not None:
-        return _handoff_answer(state, handoff, False, against)
-    state.directory.homes.put(flow, asker, state.clock())
-    if not accepts_handoff(state.local.load(), handoff.limit):
-        return _handoff_answer(state, handoff, False, None)
-    state.local.open(handoff.packet)
-    return _handoff_answer(state, handoff, True, None)
-
-
-def take_owner(state: Ownership, told: Owner) -> None:
+    if ownership.local.owns(flow):
+        return _handoff_answer(ownership, handoff, True, None)
+    sender = AgentId(handoff.home, handoff.incarnation)
+    other_home = _conflicting_home(ownership, flow, sender, handoff.yielded)
+    if other_home is not None:
+        return _handoff_answer(ownership, handoff, False, other_home)
+    ownership.directory.homes.put(flow, sender, ownership.clock())
+    if not accepts_handoff(ownership.local.load(), handoff.limit):
+        return _handoff_answer(ownership, handoff, False, None)
+    ownership.local.open(handoff.packet)
+    return _handoff_answer(ownership, handoff, True, None)
+
+
+def record_owner(ownership: Ownership, message: Owner) -> None:
     """Take in a directory entry, or a flow's end."""
-    agent = AgentId(told.owner, told.incarnation)
-    if not told.owner:
-        state.directory.end_flow(told.flow, agent, state.clock())
+    owner = AgentId(message.owner, message.incarnation)
+    if not message.owner:
+        ownership.directory.end_flow(message.flow, owner, ownership.clock())
         return
-    if state.group.is_gone(told.owner, told.incarnation):
+    if ownership.group.is_gone(message.owner, message.incarnation):
         return
-    state.directory.ended.drop(told.flow)
-    if not state.local.owns(told.flow):
-        state.directory.owners.put(told.flow, agent, state.clock())
+    ownership.directory.ended.drop(message.flow)
+    if not ownership.local.owns(message.flow):
+        ownership.directory.owners.put(message.flow, owner, ownership.clock())
 
 
-def peer_gone(state: Ownership, name: str, incarnation: int) -> None:
+def remove_peer(ownership: Ownership, name: str, incarnation: int) -> None:
     """Forget a peer; the flows that it owned have ended with it.
 
     Kept as ended, a late repeated open of such a flow is refused. Placed again, its
     new owner might be sent the request that the dead one has run already.
     """
-    state.loads.remove(name)
-    now = state.clock()
-    for flow in state.directory.remove_agent(name, incarnation):
-        state.directory.ended.put(flow, AgentId(name, incarnation), now)
+    ownership.loads.remove(name)
+    now = ownership.clock()
+    for flow in ownership.directory.remove_agent(name, incarnation):
+        ownership.directory.ended.put(flow, AgentId(name, incarnation), now)
 
 
-def _is_peer(state: Ownership, asked: Claim | Handoff) -> bool:
+def _is_peer(ownership: Ownership, message: Claim | Handoff) -> bool:
     """Whether a question comes from a living agent of the same service.
 
     What a dead home sent last may be read late, when its successor has placed the flow
     and the promise given to that one is forgotten.
     """
-    same = asked.service == state.service
-    return same and not state.group.is_gone(asked.home, asked.incarnation)
+    same = message.service == ownership.service
+    return same and not ownership.group.is_gone(message.home, message.incarnation)
 
 
-def _promise(state: Ownership, claim: Claim) -> tuple[AgentId | None, AgentId | None]:
+def _answer_or_record_claim(
+    ownership: Ownership, claim: Claim
+) -> tuple[AgentId | None, AgentId | None]:
     """Return owner and home as known here; without either the claim is recorded."""
-    flow, now = claim.flow, state.clock()
-    if state.local.owns(flow):
-        return state.agent_id, None
-    owner = state.directory.owners.get(flow, now)
+    flow, now = claim.flow, ownership.clock()
+    if ownership.local.owns(flow):
+        return ownership.agent_id, None
+    owner = ownership.directory.owners.get(flow, now)
     if owner is not None:
         return owner, None
-    asker = AgentId(claim.home, claim.incarnation)
-    if _holds_against(state, flow, asker):
-        return None, state.agent_id
-    recorded = state.directory.homes.get(flow, now)
-    if recorded is not None and recorded.name != asker.name:
+    sender = AgentId(claim.home, claim.incarnation)
+    if _keeps_claim(ownership, flow, sender):
+        return None, ownership.agent_id
+    recorded = ownership.directory.homes.get(flow, now)
+    if recorded is not None and recorded.name != sender.name:
         return None, recorded
-    state.directory.homes.put(flow, asker, now)
+    ownership.directory.homes.put(flow, sender, now)
     return None, None
 
 
-def _holds_against(state: Ownership, flow: int, asker: AgentId) -> bool:
+def _keeps_claim(ownership: Ownership, flow: int, sender: AgentId) -> bool:
     """Whether this agent goes on as home; if not, its own claim has ended."""
-    now = state.clock()
-    if state.unsure.get(flow, now) or state.directory.ended.get(flow, now):
+    now = ownership.clock()
+    if ownership.unanswered_handoffs.get(flow, now) or ownership.directory.ended.get(
+        flow, now
+    ):
         return True
-    pending = state.pending.get(flow)
+    pending = ownership.pending.get(flow)
     if pending is None:
         return False
-    return pending.placing or state.group.outranks(
-        flow, state.agent_id.name, asker.name
+    return pending.placing or ownership.group.outranks(
+        flow, ownership.agent_id.name, sender.name
     )
 
 
-def _other_home(
-    state: Ownership, flow: int, asker: AgentId, yielded: str
+def _conflicting_home(
+    ownership: Ownership, flow: int, sender: AgentId, yielded: str
 ) -> AgentId | None:
     """Return who has a better right to the flow than the asker, if anyone.
 
@@ -121,23 +125,23 @@
     that arrived, was told "not here" and placed the flow elsewhere. Taken now, the late
     hand-off would make a second owner.
     """
-    now = state.clock()
-    pending = state.pending.get(flow)
-    if state.unsure.get(flow, now) or (pending and pending.placing):
-        return state.agent_id
-    known = state.directory
-    if known.owners.get(flow, now) or known.ended.get(flow, now):
-        return state.agent_id
-    recorded = known.homes.get(flow, now)
-    if recorded is None or recorded.name in (asker.name, yielded):
+    now = ownership.clock()
+    pending = ownership.pending.get(flow)
+    if ownership.unanswered_handoffs.get(flow, now) or (pending and pending.placing):
+        return ownership.agent_id
+    directory = ownership.directory
+    if directory.owners.get(flow, now) or directory.ended.get(flow, now):
+        return ownership.agent_id
+    recorded = directory.homes.get(flow, now)
+    if recorded is None or recorded.name in (sender.name, yielded):
         return None
     return recorded
 
 
 def _handoff_answer(
-    state: Ownership, handoff: Handoff, accepted: bool, home: AgentId | None
+    ownership: Ownership, handoff: Handoff, accepted: bool, home: AgentId | None
 ) -> HandoffAnswer:
-    agent_id = state.agent_id
+    agent_id = ownership.agent_id
     return HandoffAnswer(
         handoff.packet.flow,
         handoff.question,
@@ -145,6 +149,9 @@
         home.name if home else "",
         home.incarnation if home else 0,
         load_message(
-            state.service, agent_id.name, agent_id.incarnation, state.local.load()
+            ownership.service,
+            agent_id.name,
+            agent_id.incarnation,
+            ownership.local.load(),
         ),
     )
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
@@ -49,20 +49,20 @@
         return self.ranking.candidates(self.service, flow).names
 
     def find_agent(self, name: str) -> AgentId | None:
-        """Return the newest life known of a peer, None if it isn't known."""
+        """Return the newest incarnation known of a peer, None if it isn't known."""
         known = self.members.known.get(name)
         announced = known.incarnation if known and known.service == self.service else 0
-        life = max(announced, self.contacted.get(name, 0))
-        return AgentId(name, life) if life else None
+        incarnation = max(announced, self.contacted.get(name, 0))
+        return AgentId(name, incarnation) if incarnation else None
 
     def is_gone(self, name: str, incarnation: int) -> bool:
-        """Whether a life has ended; with 0, whether any life of that name has."""
+        """Whether a agent has ended; with 0, whether any agent of that name has."""
         if name == self.agent_id.name:
             return incarnation < self.agent_id.incarnation
         if self.members.gone.get(name, -1) >= incarnation:
             return True
-        life = self.find_agent(name)
-        return life is not None and 0 < incarnation < life.incarnation
+        agent = self.find_agent(name)
+        return agent is not None and 0 < incarnation < agent.incarnation
 
     def is_stable(self) -> bool:
         """Whether the group is the same for longer than an open is repeated."""
@@ -78,10 +78,10 @@
 
     def add_peer(self, name: str, incarnation: int) -> None:
         """Note a peer that speaks to us; it may not have been announced yet."""
-        life = self.find_agent(name)
+        agent = self.find_agent(name)
         if self.is_gone(name, incarnation) or name == self.agent_id.name:
             return
-        if life is None or life.incarnation < incarnation:
+        if agent is None or agent.incarnation < incarnation:
             self.contacted[name] = incarnation
             self.changed_at = self.clock()
 
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
@@ -26,7 +26,7 @@
 from cornelspan_ownership.interfaces import ForwardTo, OwnedBy, Rejected, RetryLater
 from cornelspan_ownership.load_reporting import FlowsWithoutData, LoadReporter
 from cornelspan_ownership.local_flows import LocalFlows, RoutingCounts
-from cornelspan_ownership.ownership import OPEN_HOPS, Ownership
+from cornelspan_ownership.ownership import MAX_OPEN_HOPS, Ownership
 from cornelspan_ownership.peers import PeerCalls, ServiceGroup
 from cornelspan_ownership.placement import OwnLoad, load_message
 
@@ -152,7 +152,7 @@
             case ClaimAnswer() | HandoffAnswer():
                 self.calls.handle_answer(peer.name, message)
             case Owner():
-                handlers.take_owner(self.ownership, message)
+                handlers.record_owner(self.ownership, message)
             case _:
                 peer.refused += 1
 
@@ -201,7 +201,7 @@
                 self._forward_to(routed, owner)
             case Rejected(reason):
                 self._send_reset(routed.packet, reason)
-            case ForwardTo(home) if routed.hops < OPEN_HOPS:
+            case ForwardTo(home) if routed.hops < MAX_OPEN_HOPS:
                 self._forward_to(routed, home)
             case _:
                 self.tasks.start(self._open(routed), name="open")
@@ -230,7 +230,7 @@
                 self._forward_to(routed, owner)
             case Rejected(reason) | RetryLater(reason):
                 self._send_reset(routed.packet, reason)
-            case ForwardTo(home) if routed.hops < OPEN_HOPS:
+            case ForwardTo(home) if routed.hops < MAX_OPEN_HOPS:
                 self._forward_to(routed, home)
             case _:
                 self._forward_to_next(routed)
@@ -289,9 +289,9 @@
             )
         )
 
-    def _add_sender(self, peer: Peer, asked: Claim | Handoff) -> None:
-        if asked.service == self.settings.service and asked.home == peer.name:
-            self.group.add_peer(asked.home, asked.incarnation)
+    def _add_sender(self, peer: Peer, message: Claim | Handoff) -> None:
+        if message.service == self.settings.service and message.home == peer.name:
+            self.group.add_peer(message.home, message.incarnation)
 
     def _reply(self, peer: Peer, answer: ClaimAnswer | HandoffAnswer | None) -> None:
         if answer is None:
@@ -344,9 +344,9 @@
         """
         now = self.clock()
         due = [agent for until, agent in self.suspected if until <= now]
-        self.suspected = [each for each in self.suspected if each[0] > now]
+        self.suspected = [entry for entry in self.suspected if entry[0] > now]
         for agent in due:
-            handlers.peer_gone(self.ownership, agent.name, agent.incarnation)
+            handlers.remove_peer(self.ownership, agent.name, agent.incarnation)
 
     def _has_stream(self, name: str) -> bool:
         """Whether a stream from another agent is open."""
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -16,7 +16,7 @@
 from cornelspan_common.packets import Kind, Packet
 from cornelspan_ownership.handlers import answer_claim, answer_handoff
 from cornelspan_ownership.interfaces import CallError
-from cornelspan_ownership.ownership import OPEN_HOPS
+from cornelspan_ownership.ownership import MAX_OPEN_HOPS
 from ownership_agents import Agent
 
 ADDRESS = "127.0.0.1:80"
@@ -186,9 +186,9 @@
         act(*arguments)
 
     def send_open(self, balancer):
-        listed = self.rank(self.flow, self.views[balancer])
-        if listed:
-            self.flying.append(("open", listed[0], listed, 0))
+        candidates = self.rank(self.flow, self.views[balancer])
+        if candidates:
+            self.flying.append(("open", candidates[0], candidates, 0))
 
     def deliver(self, index):
         kind, name, content, extra = self.flying.pop(index)
@@ -243,10 +243,10 @@
             self.flying.append(("ask", name, call, agent))
 
     def opened(self, opened, context):
-        listed, hops = context
+        candidates, hops = context
         match type(opened).__name__:
-            case "ForwardTo" if hops < 2 * OPEN_HOPS:
-                self.flying.append(("open", opened.home, listed, hops + 1))
+            case "ForwardTo" if hops < 2 * MAX_OPEN_HOPS:
+                self.flying.append(("open", opened.home, candidates, hops + 1))
             case "Rejected":
                 self.refused = True
 
@@ -283,7 +283,10 @@
                 (tuple(a.owned), tuple(sorted(a.gone))),
                 holders(a.state.directory.owners),
                 holders(a.state.directory.homes),
-                (holders(a.state.directory.ended), holders(a.state.unsure)),
+                (
+                    holders(a.state.directory.ended),
+                    holders(a.state.unanswered_handoffs),
+                ),
                 tuple((p.placing, p.target) for p in a.state.pending.values()),
                 tuple(repr(peer) for peer in a.state.loads.peers.values()),
             )
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -159,7 +159,7 @@
 
 
 def test_planted_fault_the_senders_view_is_not_compared_is_found(monkeypatch):
-    def by_time_alone(self, flow, listed):
+    def by_time_alone(self, flow, candidates):
         return not self.group.is_stable()
 
     monkeypatch.setattr(Ownership, "_must_claim", by_time_alone)
@@ -169,7 +169,7 @@
 def test_planted_fault_late_hand_off_is_taken_is_found(monkeypatch):
     # A home dies just after it sent a hand-off; its successor asks the target before
     # that arrives. A target that forgets the successor's claim makes a second owner.
-    monkeypatch.setattr(handlers, "_other_home", lambda *_: None)
+    monkeypatch.setattr(handlers, "_conflicting_home", lambda *_: None)
     settings = SMALL["late hand-off of a dead home"]
     states, problem = explore(FLOW, SOAK_STATES, **settings)
     assert "two owners" in problem, states
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -57,12 +57,16 @@
     configuration.apply(SNAPSHOT)
     levels = ServiceLevels(configuration)
     bad = tuple(Minute(NOW - age, 50, 50) for age in range(5))
-    levels.take(ServiceCounts("order-hub-1", 1, "order-hub", NOW, bad, b""), PLACE)
+    levels.add_counts(
+        ServiceCounts("order-hub-1", 1, "order-hub", NOW, bad, b""), PLACE
+    )
     began = levels.check(NOW)
     assert next(change.alert for change in began if change.firing) == FAST.name
     assert levels.check(NOW) == []
     good = tuple(Minute(NOW + age, 100, 0) for age in range(1, 7))
-    levels.take(ServiceCounts("order-hub-1", 1, "order-hub", NOW + 6, good, b""), PLACE)
+    levels.add_counts(
+        ServiceCounts("order-hub-1", 1, "order-hub", NOW + 6, good, b""), PLACE
+    )
     ended = levels.check(NOW + 6)
     assert [c.alert for c in ended if not c.firing] == [FAST.name]
     assert {each.labels["window"] for each in levels.rates()} >= {"5 min", "1 h"}
