--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -255,7 +255,7 @@
         state = Agent(settings, configuration, members, tasks, tls)
         peers = Peers(
             send=state.router.send,
-            names=state.router.reachable,
+            names=state.router.peer_names,
             loads=state.router.ownership.loads,
         )
         async with (
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
@@ -80,7 +80,7 @@
                     peer.refused += 1
 
     async def serve_agent(self, peer: Peer) -> None:
-        """Learn from one agent's hints until its stream ends."""
+        """Learn flow owners from one agent's hints until its stream ends."""
         async for batch in batches(peer):
             for message in batch:
                 match message:
@@ -90,11 +90,11 @@
                         peer.refused += 1
 
     async def serve_control(self, peer: Peer) -> None:
-        """Serve a process that follows this balancer for configuration and members."""
+        """Send configuration and membership to a process until its stream ends."""
         await self.control.serve(peer)
 
     def announcement(self) -> Announce:
-        """What this balancer says of itself."""
+        """Return the message that announces this balancer to other members."""
         listen = self.settings.listen
         return Announce(
             name=self.settings.name,
@@ -110,13 +110,13 @@
         )
 
     def change_incarnation(self, incarnation: int) -> None:
-        """Begin a new life, since others took the present one for ended."""
+        """Continue under a new incarnation, after others removed the present one."""
         self.hello = msgspec.structs.replace(self.hello, incarnation=incarnation)
         for sender in (self.fabrics, self.agents, self.server):
             sender.hello = self.hello
 
     def connect_agents(self) -> None:
-        """Keep a stream to each agent that is known."""
+        """Keep a stream to each known agent, and close the others."""
         agents = [m for m in self.members.known.values() if m.role == "agent"]
         for agent in agents:
             self.agents.want(agent.name, Address(host=agent.host, port=agent.port))
@@ -126,11 +126,12 @@
         self.agents.keep_only(names)
 
     async def join(self) -> None:
-        """Open the streams to the fabrics once this balancer knows where to forward.
+        """Connect to the fabrics once this balancer is ready to forward packets.
 
-        One that knows only some agents names other homes than the rest do, and flows
-        opened there would be found by nobody else. After ``JOIN_TIMEOUT_SECONDS`` it joins all
-        the same: agents that can't be reached must not keep it out for ever.
+        A balancer that knows only some agents ranks candidates differently from the
+        others, which could not find the flows opened through it. After
+        ``JOIN_TIMEOUT_SECONDS`` it connects anyway, so that agents that can't be
+        reached don't keep it out of service.
         """
         deadline = time.monotonic() + JOIN_TIMEOUT_SECONDS
         await asyncio.sleep(JOIN_DELAY_SECONDS)
@@ -141,13 +142,13 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether a configuration is in force and all known agents are linked."""
+        """Whether a configuration is in force and all known agents are connected."""
         known = len(self.agents.wanted)
         connected = known > 0 and len(self.agents.open) == known
         return connected and self.configuration.revision > 0
 
     async def leave(self) -> None:
-        """Stop in order: have the fabrics spray elsewhere, then forward the rest."""
+        """Tell the fabrics to use other balancers, and forward what still arrives."""
         self.leaving = True
         self.control.announce()
         for peer in self.fabrics.open.values():
@@ -156,7 +157,7 @@
         self.control.leave()
 
     def register(self, metrics: Metrics) -> None:
-        """Offer what is counted here as metrics."""
+        """Register this balancer's metrics."""
         counts = self.forwarder.counts
         metrics.count("forwarded", "Packets forwarded", lambda: counts.forwarded)
         metrics.count("no_service", "Unknown address", lambda: counts.no_service)
@@ -180,9 +181,10 @@
 
     Args:
         settings: The balancer's settings.
-        configuration: What is in force; kept current here.
-        members: The members known; kept current here.
-        tls: Contexts of streams and store; off by default, and for fabrics always.
+        configuration: The configuration in force; the balancer keeps it current.
+        members: The known members; the balancer keeps them current.
+        tls: TLS contexts of streams and store, off by default. Streams to fabrics never
+            use TLS.
     """
     async with task_group() as tasks:
         state = Balancer(settings, configuration, members, tasks, tls)
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/forwarding.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/forwarding.py
@@ -1,8 +1,8 @@
-"""Forwarding: from a packet of the fabric to the agent that should have it.
+"""Forwards packets from the fabrics to agents.
 
-A balancer keeps no state that a flow depends on. The rank of a service's endpoints for
-a flow follows from the flow and the members alone, so every balancer names the same
-home; what was learned of owners only saves a hop.
+No flow depends on the state of one balancer. The ranking of a service's endpoints
+depends on the flow and the membership alone, so every balancer ranks the same home
+first. A learned owner only saves a hop.
 """
 
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where a flow's packets go, and its candidates as msgpack."""
+    """The next hop of a flow's packets, and its candidates encoded as msgpack."""
 
     address: str
     peer: Peer
@@ -31,7 +31,7 @@
 
 @dataclass
 class ForwardingCounts:
-    """Packets by what became of them."""
+    """Counts of packets by outcome, and of learned owners."""
 
     forwarded: int = 0
     no_service: int = 0
@@ -41,10 +41,10 @@
 
 
 class Forwarder:
-    """Routes of flows, from ranked candidates and learned owners.
+    """Forwards packets by ranked candidates and learned owners.
 
-    A route is kept until members, configuration or streams change: to rank and look up
-    each packet anew took a third of a balancer's time.
+    A flow's route is cached until members, configuration or streams change: ranking
+    and lookup for each packet took a third of a balancer's processor time.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self.counts = ForwardingCounts()
 
     def forward(self, packet: Packet) -> None:
-        """Send a packet on; one that has nowhere to go is counted and dropped."""
+        """Forward a packet, or count and drop it if there is no agent for it."""
         if self.routes_version != self._current_version():
             self._clear_routes()
         route = self.routes.get(packet.flow)
@@ -79,13 +79,13 @@
         self.counts.forwarded += 1
 
     def learn(self, hint: Hint) -> None:
-        """Note a flow's owner, or forget it."""
+        """Store the owner named in a hint; an empty name removes the stored one."""
         self.counts.learned += bool(hint.owner)
         self.learned.learn(hint.flow, hint.owner)
         self.routes.pop(hint.flow, None)
 
     def _current_version(self) -> tuple[int, int, int]:
-        """What routes follow from; they hold until one of these moves."""
+        """Return the versions that cached routes depend on."""
         return (
             self.members.version,
             self.configuration.revision,
@@ -97,7 +97,7 @@
         self.routes.clear()
 
     def _find_route(self, packet: Packet) -> Route | None:
-        """Find where a flow's packets go, and keep it."""
+        """Find and cache a flow's route; None if there is no agent for it."""
         service = self.configuration.by_address.get(packet.address)
         if service is None:
             self.counts.no_service += 1
@@ -116,7 +116,7 @@
         return route
 
     def _first_connected(self, candidates: Candidates) -> Peer | None:
-        """Return the stream to the best candidate that has one."""
+        """Return the stream to the best connected candidate."""
         for name in candidates.names:
             peer = self.links.open.get(name)
             if peer is not None:
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
@@ -1,4 +1,7 @@
-"""A relay balancer's part in service levels: collect, seal, and alert.
+"""Service levels on a relay: collects counts, stores them, and raises alerts.
+
+A relay is a balancer that agents report their counts to. To *seal* counts is to write
+those of complete minutes to the store.
 
 levels = ServiceLevels(configuration)
 peer.send(levels.add_counts(counts, peer.hello.datacentre))
@@ -28,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AlertChange:
-    """An alert of a service that began or ended."""
+    """A service's alert that has started or stopped firing."""
 
     service: str
     alert: str
@@ -36,10 +39,10 @@
 
 
 class ServiceLevels:
-    """What a relay knows of service levels, by the data centre of the agents.
+    """The counts that agents reported to this relay, by data centre, and its alerts.
 
-    Alerts come from the relay's own counts, so they need neither the store nor another
-    data centre: an operator hears within a check of the first complete minute.
+    Alerts depend on the relay's own counts only. So they work without the store and
+    without other data centres, within ``CHECK_SECONDS`` of the first complete minute.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -50,23 +53,24 @@
         self.firing: set[tuple[str, str]] = set()
 
     def add_counts(self, counts: ServiceCounts, datacentre: str) -> Sealed:
-        """Take in an agent's counts and return what it need not send again.
+        """Add an agent's counts and return which minutes it need not send again.
 
-        Counts go by the agent's data centre, not the relay's: one without balancers
-        reports to relays elsewhere, and each must add to the same object.
+        Counts are grouped by the agent's data centre, not the relay's. A data centre
+        without balancers reports to relays elsewhere, which must all add to the same
+        object in the store.
         """
         collector = self.collectors.setdefault(datacentre, Collector(datacentre))
         collector.take(counts)
         return Sealed(collector.sealed_for(counts.agent, counts.incarnation))
 
     def check(self, now: int) -> list[AlertChange]:
-        """Work out all burns anew.
+        """Compute the burn rates of all services again.
 
         Args:
-            now: The current minute.
+            now: The current time, in minutes since the epoch.
 
         Returns:
-            The alerts that began or ended since the last check.
+            The alerts that have started or stopped firing since the last check.
         """
         series: dict[str, Series] = {}
         for collector in self.collectors.values():
@@ -84,7 +88,7 @@
         return changes
 
     def rates(self) -> list[Labelled]:
-        """Return the burn rates for a metric, by service and window."""
+        """Return the burn rates by service and window, as metric values."""
         return [
             Labelled({"service": service, "window": window}, rate)
             for service, burn in self.burns.items()
@@ -92,29 +96,33 @@
         ]
 
     def alerts(self) -> list[Labelled]:
-        """Return the alerts that fire for a metric, by service and name."""
+        """Return the firing alerts by service and name, as metric values."""
         return [
             Labelled({"service": service, "alert": alert}, 1)
             for service, alert in sorted(self.firing)
         ]
 
     async def run(self, plane: Plane) -> None:
-        """Check and seal in turn until cancelled, while this balancer is a relay."""
+        """Check for alerts and store counts periodically until cancelled.
+
+        While this balancer is no relay, it drops the counts instead.
+        """
         while True:
             await asyncio.sleep(CHECK_SECONDS)
             if not plane.is_relay and not plane.offices():
-                # The agents report to other relays now, with all that is not sealed.
+                # The agents now report to other relays, and send them everything that
+                # is not sealed yet.
                 self.collectors.clear()
                 continue
             changes = self.check(int(time.time()) // MINUTE_SECONDS)
             if plane.offices():
-                # Both relays of a data centre find the same; the primary says so.
+                # Both relays of a data centre find the same; only the primary logs it.
                 log_changes(changes, self.burns)
             for collector in list(self.collectors.values()):
                 await self._seal(collector, plane.store)
 
     async def _seal(self, collector: Collector, client: StoreClient) -> None:
-        """Seal if it is time; without the store alerts go on and counts wait."""
+        """Store complete minutes if due; while the store is down, keep the counts."""
         now = time.monotonic()
         sealed_at = self.sealed_at.get(collector.datacentre, 0.0)
         if now - sealed_at < collector.seal_seconds:
@@ -132,7 +140,7 @@
 
 
 def log_changes(changes: list[AlertChange], burns: dict[str, Burn]) -> None:
-    """Log each alert that began or ended as one JSON line."""
+    """Log one line for each alert that has started or stopped firing."""
     for change in changes:
         burn = burns.get(change.service)
         log.warning(
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/__init__.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Who owns a flow, where a new one goes, and how its packets find the owner."""
+"""Ownership of flows: placement of new flows and routing of packets to owners."""
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/directory.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/directory.py
@@ -1,7 +1,9 @@
-"""What an agent knows of flows that others own, and of who may place them.
+"""An agent's table of flow owners, of homes, and of flows that ended recently.
+
+The home of a flow is the agent that decides which agent owns it.
 
 directory = Directory(idle_seconds=300.0)
-directory.owners.put(flow, Holder("agent-3", 17), now)
+directory.owners.put(flow, AgentId("agent-3", 17), now)
 directory.owners.get(flow, now)
 """
 
@@ -14,20 +16,24 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentId:
-    """One life of an agent."""
+    """One incarnation of an agent."""
 
     name: str
     incarnation: int
 
 
 class FlowAgents(Expiring[AgentId]):
-    """Flow to its holder, one life of an agent."""
+    """Map flows to agents; entries expire when they are not used."""
 
     def drop_agent(self, name: str, before: int) -> list[int]:
-        """Forget all flows of the lives of an agent up to an incarnation.
+        """Remove the flows of an agent, up to and including an incarnation.
+
+        Args:
+            name: The agent's name.
+            before: The last incarnation whose flows are removed.
 
         Returns:
-            The flows that were forgotten.
+            The flows that were removed.
         """
         flows = [
             flow
@@ -40,12 +46,12 @@
 
 
 class Directory:
-    """Owners and homes of flows, and the flows that have ended of late.
+    """Owners and homes of flows, and the flows that ended recently.
 
-    ``owners`` are the flows that this agent placed, or was told of. ``homes`` are
-    other agents that have claimed a flow here; an open is passed on to them. ``ended``
-    remembers a flow for a while after its end, so that a late packet of it is
-    neither sent round the group nor taken for a new flow.
+    ``owners`` has the flows that this agent placed or received an ``Owner`` message
+    for. ``homes`` has other agents that claimed a flow here; an OPEN is forwarded to
+    them. ``ended`` keeps a flow for ``ENDED_FLOW_SECONDS`` after its end, so that a
+    late packet is neither forwarded to all candidates nor opens the flow again.
     """
 
     def __init__(self, *, idle_seconds: float, limit: int = LIMIT) -> None:
@@ -54,24 +60,24 @@
         self.ended = FlowAgents(idle_seconds=ENDED_FLOW_SECONDS, limit=limit)
 
     def end_flow(self, flow: int, owner: AgentId, now: float) -> None:
-        """Note a flow's end."""
+        """Record that a flow has ended."""
         self.owners.drop(flow)
         self.homes.drop(flow)
         self.ended.put(flow, owner, now)
 
     def remove_agent(self, name: str, incarnation: int) -> list[int]:
-        """Forget an agent that is gone, as owner and as home.
+        """Remove an agent that is gone, as owner and as home.
 
-        A recorded home that is dead must not hold a flow for ever: the next open of it
-        would be passed on to nobody.
+        If a dead home stayed recorded, each further OPEN of its flows would be
+        forwarded to an agent that no longer exists.
 
         Returns:
-            The flows that it owned.
+            The flows that the agent owned.
         """
         self.homes.drop_agent(name, incarnation)
         return self.owners.drop_agent(name, incarnation)
 
     def expire(self, now: float) -> int:
-        """Forget what is idle; return how many owners and homes they were."""
+        """Remove idle entries; return the number of owners and homes removed."""
         self.ended.expire(now)
         return self.owners.expire(now) + self.homes.expire(now)
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/flows.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/flows.py
@@ -1,4 +1,4 @@
-"""Flows that this agent owns, from their open to their end."""
+"""The flows that this agent owns, from OPEN until their channels are removed."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -18,7 +18,7 @@
 
 @dataclass
 class FlowCounts:
-    """Flows by what became of them."""
+    """Counts of flows by outcome."""
 
     opened: int = 0
     finished: int = 0
@@ -28,11 +28,11 @@
 
 
 class Flows:
-    """The owned flows, and the ended ones that may still have to answer.
+    """Channels of the owned flows, and of flows that ended recently.
 
-    ``serve`` carries one flow to the backend server; it returns when the flow is over.
-    ``on_opened`` is called with a flow's channel at its open, ``on_removed`` when an ended
-    flow has no more to answer.
+    ``serve`` connects one flow to the backend server and returns when the flow is
+    over. ``on_opened`` is called with the channel of each new flow, ``on_removed`` with
+    the id of an ended flow when its channel is removed.
     """
 
     def __init__(
@@ -50,11 +50,11 @@
         self.loop = asyncio.get_running_loop()
 
     def find(self, flow: int) -> Channel | None:
-        """Return a flow's channel, also for a while after its end."""
+        """Return a flow's channel, until ``LINGER_SECONDS`` after the flow's end."""
         return self.owned.get(flow) or self.ended.get(flow)
 
     def open(self, packet: Packet) -> None:
-        """Become the owner of a new flow and accept it."""
+        """Create the channel of a new flow, accept the flow and start to serve it."""
         channel = Channel(
             packet.flow,
             packet.address,
@@ -76,7 +76,7 @@
             self._end(channel)
 
     def _end(self, channel: Channel) -> None:
-        """Keep the channel a while: the fabric may have missed our last answer."""
+        """Keep the channel to repeat the last packet if the fabric lost it."""
         if channel.error is None:
             self.counts.finished += 1
         else:
@@ -91,7 +91,7 @@
         self.on_removed(channel.flow)
 
     async def sweep(self, idle_seconds: Callable[[], float]) -> None:
-        """Reset flows that have been silent for longer than their profile allows."""
+        """Reset flows that have received no data for ``idle_seconds()``."""
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
             oldest = self.loop.time() - idle_seconds()
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/handlers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/handlers.py
@@ -1,4 +1,8 @@
-"""What an agent answers its peers about flows, and what it promises by that."""
+"""Handlers for ownership messages from peers.
+
+An answer commits this agent: once it has recorded a claim, it no longer places the flow
+on its own.
+"""
 
 from cornelspan_common.ownership import (
     Claim,
@@ -12,11 +16,11 @@
 from cornelspan_ownership.placement import accepts_handoff, load_message
 
 
-def answer_claim(ownership: Ownership, claim: Claim) -> ClaimAnswer | None:
-    """Answer a peer that wants to place a flow; None if it is no peer of ours."""
-    if not _is_peer(ownership, claim):
+def answer_claim(state: Ownership, claim: Claim) -> ClaimAnswer | None:
+    """Answer a claim; None if its sender is no live peer."""
+    if not _is_peer(state, claim):
         return None
-    owner, home = _answer_or_record_claim(ownership, claim)
+    owner, home = _answer_or_record_claim(state, claim)
     return ClaimAnswer(
         claim.flow,
         claim.question,
@@ -27,111 +31,112 @@
     )
 
 
-def answer_handoff(ownership: Ownership, handoff: Handoff) -> HandoffAnswer | None:
-    """Take a flow or refuse it; None if it comes from no peer of ours."""
-    if not _is_peer(ownership, handoff):
+def answer_handoff(state: Ownership, handoff: Handoff) -> HandoffAnswer | None:
+    """Accept or reject a hand-off; None if its sender is no live peer."""
+    if not _is_peer(state, handoff):
         return None
-    ownership.loads.update(handoff.load)
+    state.loads.update(handoff.load)
     flow = handoff.packet.flow
-    if ownership.local.owns(flow):
-        return _handoff_answer(ownership, handoff, True, None)
+    if state.local.owns(flow):
+        return _handoff_answer(state, handoff, True, None)
     sender = AgentId(handoff.home, handoff.incarnation)
-    other_home = _conflicting_home(ownership, flow, sender, handoff.yielded)
+    other_home = _conflicting_home(state, flow, sender, handoff.yielded)
     if other_home is not None:
-        return _handoff_answer(ownership, handoff, False, other_home)
-    ownership.directory.homes.put(flow, sender, ownership.clock())
-    if not accepts_handoff(ownership.local.load(), handoff.limit):
-        return _handoff_answer(ownership, handoff, False, None)
-    ownership.local.open(handoff.packet)
-    return _handoff_answer(ownership, handoff, True, None)
+        return _handoff_answer(state, handoff, False, other_home)
+    state.directory.homes.put(flow, sender, state.clock())
+    if not accepts_handoff(state.local.load(), handoff.limit):
+        return _handoff_answer(state, handoff, False, None)
+    state.local.open(handoff.packet)
+    return _handoff_answer(state, handoff, True, None)
 
 
-def record_owner(ownership: Ownership, message: Owner) -> None:
-    """Take in a directory entry, or a flow's end."""
+def record_owner(state: Ownership, message: Owner) -> None:
+    """Record a flow's owner, or its end if the message names no owner."""
     owner = AgentId(message.owner, message.incarnation)
     if not message.owner:
-        ownership.directory.end_flow(message.flow, owner, ownership.clock())
+        state.directory.end_flow(message.flow, owner, state.clock())
         return
-    if ownership.group.is_gone(message.owner, message.incarnation):
+    if state.group.is_gone(message.owner, message.incarnation):
         return
-    ownership.directory.ended.drop(message.flow)
-    if not ownership.local.owns(message.flow):
-        ownership.directory.owners.put(message.flow, owner, ownership.clock())
+    state.directory.ended.drop(message.flow)
+    if not state.local.owns(message.flow):
+        state.directory.owners.put(message.flow, owner, state.clock())
 
 
-def remove_peer(ownership: Ownership, name: str, incarnation: int) -> None:
-    """Forget a peer; the flows that it owned have ended with it.
+def remove_peer(state: Ownership, name: str, incarnation: int) -> None:
+    """Remove a peer that is gone, and record the flows that it owned as ended.
 
-    Kept as ended, a late repeated open of such a flow is refused. Placed again, its
-    new owner might be sent the request that the dead one has run already.
+    A late retry of such a flow's OPEN is then rejected. If the flow were placed again,
+    the new owner could run a request that the old one has already run.
     """
-    ownership.loads.remove(name)
-    now = ownership.clock()
-    for flow in ownership.directory.remove_agent(name, incarnation):
-        ownership.directory.ended.put(flow, AgentId(name, incarnation), now)
+    state.loads.remove(name)
+    now = state.clock()
+    for flow in state.directory.remove_agent(name, incarnation):
+        state.directory.ended.put(flow, AgentId(name, incarnation), now)
 
 
-def _is_peer(ownership: Ownership, message: Claim | Handoff) -> bool:
-    """Whether a question comes from a living agent of the same service.
+def _is_peer(state: Ownership, message: Claim | Handoff) -> bool:
+    """Whether a message was sent by a live agent of the same service.
 
-    What a dead home sent last may be read late, when its successor has placed the flow
-    and the promise given to that one is forgotten.
+    The last messages of a dead home may arrive after another home has placed the flow
+    and after the claim recorded for it has expired.
     """
-    same = message.service == ownership.service
-    return same and not ownership.group.is_gone(message.home, message.incarnation)
+    same = message.service == state.service
+    return same and not state.group.is_gone(message.home, message.incarnation)
 
 
 def _answer_or_record_claim(
-    ownership: Ownership, claim: Claim
+    state: Ownership, claim: Claim
 ) -> tuple[AgentId | None, AgentId | None]:
-    """Return owner and home as known here; without either the claim is recorded."""
-    flow, now = claim.flow, ownership.clock()
-    if ownership.local.owns(flow):
-        return ownership.agent_id, None
-    owner = ownership.directory.owners.get(flow, now)
+    """Return the known owner or home of a flow; if there is none, record the claim."""
+    flow, now = claim.flow, state.clock()
+    if state.local.owns(flow):
+        return state.agent_id, None
+    owner = state.directory.owners.get(flow, now)
     if owner is not None:
         return owner, None
     sender = AgentId(claim.home, claim.incarnation)
-    if _keeps_claim(ownership, flow, sender):
-        return None, ownership.agent_id
-    recorded = ownership.directory.homes.get(flow, now)
+    if _keeps_claim(state, flow, sender):
+        return None, state.agent_id
+    recorded = state.directory.homes.get(flow, now)
     if recorded is not None and recorded.name != sender.name:
         return None, recorded
-    ownership.directory.homes.put(flow, sender, now)
+    state.directory.homes.put(flow, sender, now)
     return None, None
 
 
-def _keeps_claim(ownership: Ownership, flow: int, sender: AgentId) -> bool:
-    """Whether this agent goes on as home; if not, its own claim has ended."""
-    now = ownership.clock()
-    if ownership.unanswered_handoffs.get(flow, now) or ownership.directory.ended.get(
-        flow, now
-    ):
+def _keeps_claim(state: Ownership, flow: int, sender: AgentId) -> bool:
+    """Whether this agent remains the home of a flow that the sender claims.
+
+    If not, this agent's own claim of the flow fails.
+    """
+    now = state.clock()
+    if state.unanswered_handoffs.get(flow, now) or state.directory.ended.get(flow, now):
         return True
-    pending = ownership.pending.get(flow)
+    pending = state.pending.get(flow)
     if pending is None:
         return False
-    return pending.placing or ownership.group.outranks(
-        flow, ownership.agent_id.name, sender.name
+    return pending.placing or state.group.outranks(
+        flow, state.agent_id.name, sender.name
     )
 
 
 def _conflicting_home(
-    ownership: Ownership, flow: int, sender: AgentId, yielded: str
+    state: Ownership, flow: int, sender: AgentId, yielded: str
 ) -> AgentId | None:
-    """Return who has a better right to the flow than the asker, if anyone.
+    """Return the home whose claim takes precedence over a hand-off, None if none does.
 
-    A home may have died just after it sent a hand-off. The next one asked here before
-    that arrived, was told "not here" and placed the flow elsewhere. Taken now, the late
-    hand-off would make a second owner.
+    Guards against a late hand-off: its home died just after sending it, and the next
+    home claimed the flow here before it arrived and placed the flow elsewhere.
+    Accepting the hand-off now would create a second owner.
     """
-    now = ownership.clock()
-    pending = ownership.pending.get(flow)
-    if ownership.unanswered_handoffs.get(flow, now) or (pending and pending.placing):
-        return ownership.agent_id
-    directory = ownership.directory
+    now = state.clock()
+    pending = state.pending.get(flow)
+    if state.unanswered_handoffs.get(flow, now) or (pending and pending.placing):
+        return state.agent_id
+    directory = state.directory
     if directory.owners.get(flow, now) or directory.ended.get(flow, now):
-        return ownership.agent_id
+        return state.agent_id
     recorded = directory.homes.get(flow, now)
     if recorded is None or recorded.name in (sender.name, yielded):
         return None
@@ -139,9 +144,9 @@
 
 
 def _handoff_answer(
-    ownership: Ownership, handoff: Handoff, accepted: bool, home: AgentId | None
+    state: Ownership, handoff: Handoff, accepted: bool, home: AgentId | None
 ) -> HandoffAnswer:
-    agent_id = ownership.agent_id
+    agent_id = state.agent_id
     return HandoffAnswer(
         handoff.packet.flow,
         handoff.question,
@@ -149,9 +154,9 @@
         home.name if home else "",
         home.incarnation if home else 0,
         load_message(
-            ownership.service,
+            state.service,
             agent_id.name,
             agent_id.incarnation,
-            ownership.local.load(),
+            state.local.load(),
         ),
     )
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/interfaces.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/interfaces.py
@@ -1,4 +1,4 @@
-"""What deciding on a flow's owner needs from outside, and what it comes to."""
+"""Interfaces that ``Ownership`` depends on, and the results of an OPEN."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallError:
-    """A peer that did not answer; ``gone`` if it is known to be no more."""
+    """A peer did not answer; ``gone`` if it is known to have left or failed."""
 
     name: str
     gone: bool
@@ -29,21 +29,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardTo:
-    """Another agent is the flow's home."""
+    """Another agent is the flow's home; forward the OPEN to it."""
 
     home: str
 
 
 @dataclass(frozen=True, slots=True)
 class RetryLater:
-    """Not to be decided now; the fabric's end repeats its open."""
+    """No decision is possible now; the fabric sends the OPEN again."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The flow can't be opened, or has ended; the fabric's end is to be told."""
+    """The flow can't be opened, or has ended; reset it at the fabric."""
 
     reason: str
 
@@ -55,22 +55,22 @@
 
 
 class PeerGroup(Protocol):
-    """What an agent knows of its service's group now."""
+    """The agents of the service, as this agent knows them."""
 
     def ranked(self, flow: int) -> tuple[str, ...]:
-        """Return the candidates by this agent's own view."""
+        """Return the candidates of a flow by this agent's view, best first."""
 
     def find_agent(self, name: str) -> AgentId | None:
-        """Return the life of a peer that is there now, None if it isn't known."""
+        """Return a peer's current incarnation, None if the peer is not known."""
 
     def is_gone(self, name: str, incarnation: int) -> bool:
-        """Whether a life of a peer is known to have ended."""
+        """Whether an incarnation of a peer is known to have ended."""
 
     def is_stable(self) -> bool:
-        """Whether the group has not changed for longer than an open is repeated."""
+        """Whether the group has not changed for longer than an OPEN is retried."""
 
     def outranks(self, flow: int, one: str, other: str) -> bool:
-        """Whether of two homes the first wins; the same wherever it is asked."""
+        """Whether ``one`` ranks above ``other`` as home; equal on all agents."""
 
 
 class LocalAgent(Protocol):
@@ -80,7 +80,7 @@
         """Whether a flow is owned here."""
 
     def open(self, packet: Packet) -> None:
-        """Become the owner and accept."""
+        """Become the owner of a flow and accept it."""
 
     def load(self) -> OwnLoad:
-        """Return this agent's load; no slots while it takes nothing new."""
+        """Return this agent's load, with 0 slots while it accepts no new flows."""
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/load_reporting.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/load_reporting.py
@@ -1,4 +1,4 @@
-"""What an agent tells its peers of its load, and when."""
+"""When an agent sends its load to its peers, and which new flows count as load."""
 
 from collections import deque
 
@@ -16,14 +16,14 @@
 
 
 class LoadReporter:
-    """The load as the peers were told of it last."""
+    """Decides when to send the load, by the load that was sent last."""
 
     def __init__(self, sent: Load) -> None:
         self.last_sent = sent
         self.sent_at = 0.0
 
     def is_due(self, load: OwnLoad, now: float) -> bool:
-        """Whether the peers have to be told of a load now."""
+        """Whether a load has to be sent to the peers now."""
         if must_send_now(self.last_sent, load):
             return True
         sent = (self.last_sent.slots, self.last_sent.running, self.last_sent.waiting)
@@ -32,26 +32,27 @@
         return changed and now - self.sent_at >= LOAD_INTERVAL_SECONDS
 
     def mark_sent(self, sent: Load, now: float) -> None:
-        """Note what the peers are told."""
+        """Record a load that was sent."""
         self.last_sent = sent
         self.sent_at = now
 
 
 class FlowsWithoutData:
-    """Flows opened a moment ago, whose first requests are still on the way.
+    """Flows opened in the last ``FIRST_DATA_SECONDS`` that have received no data yet.
 
-    Left out of the load, all opens of one moment would find the same slot free.
+    Their first requests are still on the way. If the load left these flows out,
+    several OPENs that arrive together would all be placed on the same free slot.
     """
 
     def __init__(self) -> None:
         self.opened: deque[tuple[float, Channel]] = deque(maxlen=MAX_FLOWS_WITHOUT_DATA)
 
     def add(self, channel: Channel, now: float) -> None:
-        """Note a new flow."""
+        """Add a new flow."""
         self.opened.append((now, channel))
 
     def count(self, now: float) -> int:
-        """Return how many have sent nothing, of those of the last moment."""
+        """Return the number of recently opened flows without data."""
         while self.opened and now - self.opened[0][0] > FIRST_DATA_SECONDS:
             self.opened.popleft()
         return sum(1 for _, channel in self.opened if channel.expected == 1)
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/local_flows.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/local_flows.py
@@ -1,4 +1,4 @@
-"""What the router counts, and the flows owned here as ``Ownership`` needs them."""
+"""Routing counters, and the adapter from ``Flows`` to ``LocalAgent``."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,7 +10,11 @@
 
 @dataclass
 class RoutingCounts:
-    """Packets by what became of them; ``foreign`` are of another service."""
+    """Counts of packets by outcome.
+
+    ``wrong_service`` counts packets of another service; ``unreachable`` those whose
+    next agent has no open stream.
+    """
 
     delivered: int = 0
     forwarded: int = 0
@@ -20,16 +24,16 @@
 
 
 class LocalFlows:
-    """The flows owned here, as ``Ownership`` needs them."""
+    """Implements ``LocalAgent`` for ``Ownership`` with the flows owned here."""
 
     def __init__(self, flows: Flows, load: Callable[[], OwnLoad]) -> None:
         self.flows = flows
         self.load = load
 
     def owns(self, flow: int) -> bool:
-        """Whether a flow is owned here, or has ended here a moment ago."""
+        """Whether a flow is owned here, or ended here recently."""
         return self.flows.find(flow) is not None
 
     def open(self, packet: Packet) -> None:
-        """Become the owner and accept."""
+        """Become the owner of a flow and accept it."""
         self.flows.open(packet)
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
@@ -1,18 +1,19 @@
-"""One owner for each flow: how the agents of a service agree on it.
+"""Agreement between the agents of a service on one owner for each flow.
 
-The first candidate of a new flow is its home and places it, here or at a peer. Two
-agents can take themselves for the home of one flow when the membership changes or is
-known differently in two places. So a home that can't rule this out *claims* the flow
-first: each other candidate answers what it knows and remembers the claim.
+The first candidate of a new flow is its home. The home places the flow: it becomes the
+owner itself or hands the flow off to a peer. While the membership changes, or is known
+differently by two agents, both can act as home of one flow. A home that can't rule
+this out *claims* the flow first: every other candidate replies with the owner or home
+that it knows, and otherwise records the claim.
 
     ownership = Ownership(me, "order-hub", group, local, ask)
     match await ownership.open(packet, candidates):
         case At(owner):
             ...
 
-What an answer promises makes the safeguard enough: an agent that has answered "not
-here" places the flow no more by itself, and one that has begun to place it never
-yields. Of two homes that ask each other at most one therefore places.
+Two homes can't both place a flow: an agent that has recorded a claim no longer places
+the flow on its own, and an agent that has begun to place it rejects every claim. So of
+two homes that claim the flow from each other at most one places it.
 """
 
 from collections.abc import Callable, Sequence
@@ -54,7 +55,11 @@
 
 @dataclass(slots=True)
 class PendingOpen:
-    """An open under way here."""
+    """An OPEN that is being handled here.
+
+    ``placing`` is set once no claim is needed or all claims were granted; ``target`` is
+    the peer that the flow is being handed off to, or "".
+    """
 
     placing: bool = False
     target: str = ""
@@ -62,7 +67,7 @@
 
 @dataclass
 class OwnershipCounts:
-    """Opens by how they were decided."""
+    """Counts of OPENs by outcome, and of hand-offs that peers rejected."""
 
     kept: int = 0
     handed_off: int = 0
@@ -74,10 +79,12 @@
 
 @dataclass
 class Ownership:
-    """What one agent knows and has promised about the flows of its service.
+    """One agent's state of flow ownership, and the handling of OPENs.
 
-    ``unanswered_handoffs`` holds the targets of hand-offs that no answer came to: they may own the
-    flow, so nobody else is asked until they answer or are gone.
+    ``unanswered_handoffs`` has the targets of hand-offs without an answer. A target may
+    own the flow, so no other agent is tried until it answers or is gone.
+    ``unknown_since`` has when a candidate that this agent doesn't know was first seen,
+    in seconds of the clock.
     """
 
     agent_id: AgentId
@@ -97,7 +104,7 @@
     )
 
     def locate(self, flow: int) -> OpenResult | None:
-        """Return what is known here of a flow, None if nothing."""
+        """Return the result for a flow by local knowledge, None if it is unknown."""
         if self.local.owns(flow):
             return OwnedBy(self.agent_id.name)
         now = self.clock()
@@ -117,12 +124,12 @@
     async def open(
         self, packet: Packet, candidates: Sequence[str], hops: int
     ) -> OpenResult:
-        """Find or become the home of a flow, and place it.
+        """Handle an OPEN: return the owner or home, or place the flow as its home.
 
         Args:
             packet: The OPEN.
-            listed: Candidates as the balancer that sent it ranks them.
-            hops: Agents that have passed the packet on.
+            candidates: The candidates as ranked by the balancer that sent the packet.
+            hops: How many agents have forwarded the packet.
         """
         if hops >= MAX_OPEN_HOPS:
             candidates = self._break_loop(packet.flow, candidates)
@@ -148,8 +155,9 @@
             found = await self._claim(
                 packet.flow, self._other_candidates(packet.flow, candidates)
             )
-            # While the answers were on their way this agent may have yielded, taken a
-            # hand-off, or been told of an owner: that comes first.
+            # While it waited for the answers, this agent may have recorded another
+            # home's claim, accepted a hand-off or received an ``Owner`` message. These
+            # take precedence over the result of the claim.
             found = self.locate(packet.flow) or found
             if found is not None:
                 return found
@@ -157,25 +165,26 @@
         return await self._place(packet, pending)
 
     def _break_loop(self, flow: int, candidates: Sequence[str]) -> Sequence[str]:
-        """Forget the recorded home of a flow, and have it asked once more.
+        """Drop the recorded home of a flow, so that this agent claims the flow again.
 
-        Two agents that each yielded to the other, one after a claim that came to
-        nothing, pass an open to and fro. To claim anew is safe, since the other is
-        asked and says so if it is placing.
+        If two agents each recorded the other as home, one of them after its own claim
+        failed, they forward an OPEN to each other without end. A new claim is safe: the
+        other agent is asked too, and names itself as home if it is placing the flow.
 
         Returns:
-            Whom to ask; in an order that calls for a claim.
+            The candidates to ask, in an order that makes a claim necessary.
         """
         home = self.directory.homes.get(flow, self.clock())
         self.directory.homes.drop(flow)
         return (*candidates, home.name if home else self.agent_id.name)
 
     def _must_claim(self, flow: int, candidates: Sequence[str]) -> bool:
-        """Whether another agent may take itself for the home of this flow.
+        """Whether another agent may act as home of this flow too.
 
-        A time after each change alone is not enough, since updates reach balancers
-        late, for minutes while the store is down: the sender's list has to be the same
-        as this agent's own, with this agent first.
+        Waiting for some time after each change of the group is not enough: while the
+        store is down, updates reach balancers minutes late. So the sender's candidates
+        must also equal this agent's own, with this agent first. A flow with an
+        unanswered hand-off needs no claim, since its placement has already begun.
         """
         if self.unanswered_handoffs.get(flow, self.clock()) is not None:
             return False
@@ -184,10 +193,13 @@
         return not (first and tuple(candidates) == ranked and self.group.is_stable())
 
     async def _claim(self, flow: int, names: list[str]) -> OpenResult | None:
-        """Ask agents, and the homes that they name; None if the claim stands with all.
+        """Claim a flow from agents and from the homes that they name.
 
-        Only a home itself knows whether it still is: others may have recorded a claim
-        that has since yielded.
+        A home named in an answer is asked as well, since only that agent knows whether
+        it still acts as home; the claim that the others recorded may be withdrawn.
+
+        Returns:
+            None if no agent objects, else the result that ends the OPEN.
         """
         if unknown_names := self._recently_unknown(names):
             return RetryLater(f"{unknown_names[0]} is not known here yet")
@@ -204,11 +216,12 @@
         return None
 
     def _recently_unknown(self, names: list[str]) -> list[str]:
-        """Return names that this agent has not heard of, but may in a moment.
+        """Return the unknown agents that may still be announced here.
 
-        A balancer may know a new agent before this one does. A name that stays unknown
-        is of one that was gone before this agent began; waiting on would hold up every
-        flow while an old view lasts.
+        A balancer may know a new agent before this agent does. A name that stays
+        unknown for ``UNKNOWN_AGENT_SECONDS`` belongs to an agent that was gone before
+        this one started; waiting longer would delay every OPEN from a balancer with
+        an outdated membership.
         """
         now = self.clock()
         unknown = [name for name in names if self.group.find_agent(name) is None]
@@ -223,10 +236,10 @@
     def _evaluate_answers(
         self, flow: int, asked: Sequence[str], answers: list[AnswerResult]
     ) -> Result[list[str], OpenResult]:
-        """Read answers to a claim.
+        """Evaluate the answers to a claim.
 
         Returns:
-            Other homes that have to be asked, or what ends the claim.
+            Other homes that have to be asked, or the result that ends the claim.
         """
         named_homes: list[str] = []
         unanswered: OpenResult | None = None
@@ -262,20 +275,20 @@
         return ForwardTo(home.name)
 
     def _other_candidates(self, flow: int, candidates: Sequence[str]) -> list[str]:
-        """Return the candidates of both views but this agent and those gone."""
+        """Return the live candidates of both lists, without this agent."""
         names = dict.fromkeys([*candidates, *self.group.ranked(flow)])
         names.pop(self.agent_id.name, None)
         return [name for name in names if not self._has_ended(name, 0)]
 
     def _has_ended(self, name: str, incarnation: int) -> bool:
-        """Whether a life has ended, or with 0 the last one known of a name."""
+        """Whether an incarnation has ended; with 0, whether the agent is gone."""
         agent = self.group.find_agent(name)
         if agent is not None:
             return incarnation != 0 and agent.incarnation > incarnation
         return self.group.is_gone(name, incarnation)
 
     async def _place(self, packet: Packet, pending: PendingOpen) -> OpenResult:
-        """Keep the flow or hand it off, until someone has it for sure."""
+        """Keep the flow or hand it off, trying targets until one accepts it."""
         attempts_left = HANDOFF_ATTEMPTS
         yielded = ""
         excluded: set[str] = set()
@@ -308,18 +321,18 @@
         return RetryLater("refused too often")
 
     def _no_target(self) -> OpenResult:
-        """Refuse a flow that nobody can take, unless someone may in a moment.
+        """Reject a flow that no agent can take, or defer it while the group changes.
 
-        In a rolling restart the last agent leaves while its successors have told no
-        load yet. Refused, the caller would see a broken flow; its open is repeated
-        for about 12 s anyway, and a group that has settled refuses at once.
+        In a rolling restart the last old agent leaves before the new agents have sent
+        their load. Rejecting the flow then would break it for the client, although the
+        fabric retries the OPEN for about 12 s. A stable group rejects at once.
         """
         if self.group.is_stable():
             return Rejected("no endpoint takes new flows")
         return RetryLater("no endpoint has told that it takes new flows")
 
     def _choose_target(self, flow: int, excluded: set[str]) -> str | None:
-        """Return whom to place a flow at, "" for here, None if nobody can take it."""
+        """Return the agent to place a flow on, "" for this one, None for no agent."""
         unanswered_handoffs = self.unanswered_handoffs.get(flow, self.clock())
         if unanswered_handoffs is not None:
             if not self._has_ended(
@@ -340,7 +353,7 @@
     async def _hand_off(
         self, packet: Packet, target: str, attempts_left: int, yielded: str
     ) -> AnswerResult:
-        """Ask a peer to own the flow; without an answer it stays the one to ask."""
+        """Hand the flow off to a peer, which stays the only target until it answers."""
         flow = packet.flow
         is_retry = self.unanswered_handoffs.get(flow, self.clock()) is not None
         limit = NO_LIMIT if is_retry else busy_limit(self.loads, target, attempts_left)
@@ -368,7 +381,11 @@
     async def _claim_from_home(
         self, flow: int, answer: HandoffAnswer
     ) -> OpenResult | None:
-        """Ask the home that a refusal names; None if it yields or is gone."""
+        """Claim the flow from the home that a peer named when it rejected a hand-off.
+
+        Returns:
+            None if that home yields or is gone, else the result that ends the OPEN.
+        """
         home = answer.home
         if self._has_ended(home, answer.home_incarnation):
             return None
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
@@ -1,4 +1,4 @@
-"""The agents of one service as one of them knows them, and questions between them."""
+"""The agents of one service as known to one of them, and calls between them."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -18,10 +18,12 @@
 
 
 class ServiceGroup:
-    """The service's agents: those announced, and those met on a stream before.
+    """The service's agents: announced ones, and ones that sent a message before that.
 
-    An open is repeated for about 12 s by the fabric's end, so for ``stable_seconds``
-    after a change one may come to a new home that an old home has placed already.
+    The fabric retries an OPEN for about 12 s. So for ``stable_seconds`` after a change
+    of the group a new home may receive an OPEN that an earlier home has placed already.
+    ``contacted`` has the incarnations known from messages, ``incarnations`` all of them
+    as of the last ``refresh``.
     """
 
     def __init__(
@@ -45,18 +47,18 @@
         self.changed_at = clock()
 
     def ranked(self, flow: int) -> tuple[str, ...]:
-        """Return the candidates by this agent's own view."""
+        """Return the candidates of a flow by this agent's view, best first."""
         return self.ranking.candidates(self.service, flow).names
 
     def find_agent(self, name: str) -> AgentId | None:
-        """Return the newest incarnation known of a peer, None if it isn't known."""
+        """Return the newest known incarnation of a peer, None for an unknown one."""
         known = self.members.known.get(name)
         announced = known.incarnation if known and known.service == self.service else 0
         incarnation = max(announced, self.contacted.get(name, 0))
         return AgentId(name, incarnation) if incarnation else None
 
     def is_gone(self, name: str, incarnation: int) -> bool:
-        """Whether a agent has ended; with 0, whether any agent of that name has."""
+        """Whether an incarnation has ended; with 0, whether any of that name has."""
         if name == self.agent_id.name:
             return incarnation < self.agent_id.incarnation
         if self.members.gone.get(name, -1) >= incarnation:
@@ -65,19 +67,20 @@
         return agent is not None and 0 < incarnation < agent.incarnation
 
     def is_stable(self) -> bool:
-        """Whether the group is the same for longer than an open is repeated."""
+        """Whether the group has not changed for longer than an OPEN is retried."""
         return self.clock() - self.changed_at >= self.stable_seconds
 
     def outranks(self, flow: int, one: str, other: str) -> bool:
-        """Whether of two homes the first wins.
+        """Whether agent ``one`` takes precedence over ``other`` as home of a flow.
 
-        Configured weights are left out: two that tie need not know each other's.
+        Configured weights are ignored, because two agents may not know each other's
+        weight and would then get different results.
         """
         first = score(flow, name_seed(one), 1.0)
         return first > score(flow, name_seed(other), 1.0)
 
     def add_peer(self, name: str, incarnation: int) -> None:
-        """Note a peer that speaks to us; it may not have been announced yet."""
+        """Record the sender of a message, which may not have been announced yet."""
         agent = self.find_agent(name)
         if self.is_gone(name, incarnation) or name == self.agent_id.name:
             return
@@ -86,7 +89,7 @@
             self.changed_at = self.clock()
 
     def refresh(self) -> list[AgentId]:
-        """Look at the members anew; return the lives that have ended since."""
+        """Read the membership again; return the incarnations that have ended since."""
         if self.version == self.members.version and not self.contacted:
             return []
         self.version = self.members.version
@@ -108,7 +111,7 @@
 
 
 class PeerCalls:
-    """Questions to peers that wait for an answer."""
+    """Requests to peers, matched with their answers by peer and request number."""
 
     def __init__(self, send: Callable[[str, Message], bool]) -> None:
         self.send = send
@@ -117,7 +120,12 @@
     async def call(
         self, names: Sequence[str], message: Claim | Handoff
     ) -> list[AnswerResult]:
-        """Ask peers at the same time; one that is silent costs ``CALL_TIMEOUT_SECONDS``."""
+        """Send a message to peers and wait for their answers.
+
+        Returns:
+            An answer for each name, or an error for a peer that can't be reached, is
+            gone or has not answered within ``CALL_TIMEOUT_SECONDS``.
+        """
         keys = [(name, message.question) for name in names]
         loop = asyncio.get_running_loop()
         futures = [loop.create_future() for _ in keys]
@@ -136,13 +144,13 @@
         ]
 
     def handle_answer(self, name: str, answer: Answer) -> None:
-        """Take in a peer's answer; one that comes too late is left out."""
+        """Complete the call that an answer belongs to; ignore a late answer."""
         future = self.pending.get((name, answer.question))
         if future is not None and not future.done():
             future.set_result(Ok(answer))
 
     def fail_calls_to(self, name: str) -> None:
-        """End all questions to a peer that is gone."""
+        """Fail all pending calls to a peer that is gone."""
         for (callee, _), future in list(self.pending.items()):
             if callee == name and not future.done():
                 future.set_result(Err(CallError(name, gone=True)))
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/placement.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/placement.py
@@ -1,8 +1,8 @@
-"""Chooses the agent of a service that shall own a new flow.
+"""Chooses the agent of a service that will own a new flow.
 
-Agents of a service tell one another their load; balancers, whose view is late, have no
-part in it. A home keeps a flow while it has a slot free, and else hands it to the agent
-that would finish it first.
+The agents of a service send each other their load. Balancers don't take part, since
+their view of the load is out of date. A home keeps a flow while it has a free slot;
+otherwise it hands the flow off to the agent expected to finish a request first.
 
     loads = Loads()
     loads.update(load)
@@ -26,11 +26,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnLoad:
-    """This agent's load at this moment.
+    """This agent's current load.
 
-    ``mean_seconds`` is how long a request holds a slot of late, ``UNMEASURED`` while
-    none has lately. An endpoint that starts cold reports it longer than it is, by the
-    share that the ramp still holds back; an ejected or leaving one has no slots.
+    ``mean_seconds`` is how long recent requests held a slot, or ``UNMEASURED`` without
+    recent requests. During slow start an endpoint reports a longer time, in proportion
+    to the load that the ramp still holds back. An ejected or leaving endpoint has no
+    slots. ``urgent`` counts the waiting requests whose priority was not lowered.
     """
 
     slots: int
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class PeerLoad:
-    """A peer's last ``Load``, and the hand-offs to it that no answer has come to."""
+    """A peer's last ``Load``, and the number of hand-offs to it without an answer."""
 
     load: Load
     unanswered: int = 0
@@ -50,12 +51,12 @@
 
 @dataclass(slots=True)
 class LoadTable:
-    """What the peers of the service have told of their load."""
+    """The loads received from the peers of the service."""
 
     peers: dict[str, PeerLoad] = field(default_factory=dict)
 
     def update(self, load: Load) -> None:
-        """Take in a load; one from an earlier life than the known is left out."""
+        """Store a received load, unless it is from an earlier incarnation."""
         peer = self.peers.get(load.name)
         if peer is None:
             self.peers[load.name] = PeerLoad(load)
@@ -67,28 +68,28 @@
         peer.load = load
 
     def add_unanswered(self, name: str) -> None:
-        """Count a hand-off that is on its way to a peer.
+        """Count a hand-off that was sent to a peer.
 
-        Until its answer brings the peer's new load, all opens of one moment would
-        otherwise see the same least loaded peer and fall on it together.
+        The peer's load is updated only by its answer. Without this count, OPENs that
+        arrive together would all choose the same least loaded peer.
         """
         if name in self.peers:
             self.peers[name].unanswered += 1
 
     def remove_unanswered(self, name: str) -> None:
-        """Count a hand-off's answer."""
+        """Count the answer to a hand-off."""
         peer = self.peers.get(name)
         if peer is not None and peer.unanswered > 0:
             peer.unanswered -= 1
 
     def remove(self, name: str) -> None:
-        """Forget a peer that is gone."""
+        """Remove a peer that is gone."""
         self.peers.pop(name, None)
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementTarget:
-    """An agent that may own a new flow; "" is the one that chooses."""
+    """An agent that a new flow may be placed on; name "" is this agent."""
 
     name: str
     slots: int
@@ -97,13 +98,13 @@
 
 
 def rank_targets(own: OwnLoad | None, loads: LoadTable, peers: list[str]) -> list[str]:
-    """Return the agents to place a flow on, best first; "" is this agent itself.
+    """Return the agents to place a flow on, best first; "" is this agent.
 
     Args:
-        own: This agent's load; None if it may take nothing new.
+        own: This agent's load; None if it must not take the flow.
         loads: The peers' loads.
-        peers: The peers of the service that can be reached, in the flow's rank; among
-            equals the earlier wins, which spreads equals over flows.
+        peers: The reachable peers of the service, as ranked for the flow. Of peers with
+            equal cost the earlier comes first, so different flows use different peers.
     """
     targets = [_local_target(own)] if own is not None and own.slots > 0 else []
     known = [loads.peers[name] for name in peers if name in loads.peers]
@@ -121,27 +122,31 @@
 
 
 def _typical_seconds(targets: list[PlacementTarget]) -> float:
-    """Return the median of the service times that are known.
+    """Return the median of the known mean service times, in seconds.
 
-    An endpoint without a measure is taken for a usual one. Taken for as slow as some
-    fixed figure, one that starts among faster ones was used last, so it was never
-    measured and stayed without work for good.
+    An endpoint without a measurement counts as typical. With a fixed default instead,
+    an endpoint that started among faster ones was always chosen last, so it was never
+    measured and never got any work.
     """
     measured = [each.mean_seconds for each in targets if each.mean_seconds > UNMEASURED]
     return median_low(measured) if measured else DEFAULT_SERVICE_SECONDS
 
 
 def busy_limit(loads: LoadTable, name: str, attempts_left: int) -> int:
-    """Return how busy a peer may be and still take a hand-off.
+    """Return how busy a peer may be and still accept a hand-off.
 
-    The home's view of a peer is late by up to ``LOAD_INTERVAL_SECONDS``. A peer that has filled
-    up since refuses, and its answer brings its load, so the next choice is better. The
-    last try has no limit, so that an open is never sent round for long.
+    The home's view of a peer is up to ``LOAD_INTERVAL_SECONDS`` old. A peer that has
+    filled up since then rejects the hand-off, and its answer has its current load, so
+    the next choice is better. The last attempt has no limit, which bounds the number of
+    hand-offs for one OPEN.
 
     Args:
-        loads: The home's view, before the hand-off is counted in it.
+        loads: The home's view, before this hand-off is counted in it.
         name: The peer that the hand-off goes to.
-        attempts_left: Tries left, this one included.
+        attempts_left: Attempts left, including this one.
+
+    Returns:
+        The number of running and waiting requests, or ``NO_LIMIT``.
     """
     if attempts_left <= 1:
         return NO_LIMIT
@@ -150,7 +155,7 @@
 
 
 def accepts_handoff(own: OwnLoad, limit: int) -> bool:
-    """Whether an agent takes a hand-off that was sent with a ``busy_limit``."""
+    """Whether an agent accepts a hand-off sent with a limit of ``busy_limit``."""
     if own.slots == 0:
         return False
     busy = own.running + own.waiting
@@ -160,8 +165,9 @@
 def must_send_now(sent: Load, own: OwnLoad) -> bool:
     """Whether a change of load can't wait for the next ``LOAD_INTERVAL_SECONDS``.
 
-    A slot that peers believe taken stays empty while flows wait elsewhere, and one that
-    is no more, as at the begin of a drain, draws hand-offs that are then refused.
+    If peers don't know of a free slot, it stays unused while flows wait elsewhere. If
+    they don't know that an agent has no slots any more, as when a drain begins, they
+    send hand-offs that it rejects.
     """
     if (sent.slots == 0) != (own.slots == 0):
         return True
@@ -170,10 +176,11 @@
 
 
 def mean_has_changed(sent: Load, own: OwnLoad) -> bool:
-    """Whether peers believe an endpoint clearly faster or slower than it is.
+    """Whether the mean service time differs clearly from the last one sent.
 
-    An idle endpoint's mean moves too, at the end of its ramp. Untold, its peers would
-    take it for slow until its next request, which they then never send.
+    The reported mean of an idle endpoint changes too, at the end of its ramp. If it
+    didn't send the change, its peers would treat it as slow until its next request,
+    which they would never send.
     """
     low, high = sorted((sent.mean_seconds, own.mean_seconds))
     return high > low * MEAN_CHANGE_RATIO
@@ -182,7 +189,7 @@
 def load_message(
     service: str, name: str, incarnation: int, own: OwnLoad, flows: int = 0
 ) -> Load:
-    """Return what an agent tells its peers of its load."""
+    """Return the message that reports an agent's load to its peers."""
     return Load(
         service,
         name,
@@ -197,15 +204,15 @@
 
 
 def cost(target: PlacementTarget, typical_seconds: float) -> float:
-    """Return the seconds until a new request would be done behind what is there.
+    """Return the estimated time to finish a new request on a target, in seconds.
 
-    Means differ by chance all the time. Taken as they are, they would send most flows
-    to whoever was lucky of late, so a mean counts as the usual one until it is clearly
-    longer. Among endpoints with a free slot the less busy wins by a small share.
+    Mean service times vary randomly. Used directly, most flows would go to the endpoint
+    with the shortest recent mean, so a mean counts as typical unless it is clearly
+    longer. ``TIE_BREAK_SHARE`` ranks the less busy of two with a free slot first.
 
     Args:
-        choice: The agent to be judged.
-        usual: The median of the group's mean service times, in seconds.
+        target: The agent to place the request on.
+        typical_seconds: The median of the group's mean service times, in seconds.
     """
     mean = target.mean_seconds if _is_slow(target, typical_seconds) else typical_seconds
     rounds = max(1.0, (target.busy + 1) / target.slots)
@@ -217,7 +224,7 @@
 
 
 def _keeps_flow(target: PlacementTarget, typical_seconds: float) -> bool:
-    """Whether a home keeps a flow: it has a slot free and isn't a slow endpoint."""
+    """Whether a target is this agent, has a free slot and isn't slow."""
     free = target.busy < target.slots
     return target.name == "" and free and not _is_slow(target, typical_seconds)
 
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
@@ -41,10 +41,12 @@
 
 
 class Router:
-    """Finds the owner of each packet's flow: here, or at another agent.
+    """Routes each packet to the owner of its flow: this agent or another one.
 
-    ``leaving`` refuses all new flows by handing them off; ``retired`` passes even the
-    placing on, since what this agent knew has been handed over.
+    While ``leaving`` is set, this agent accepts no new flows and hands them all off.
+    Once ``retired`` is set, it forwards OPENs too, since its directory has been sent to
+    other agents. ``homes`` has the home of each flow owned here, ``suspected`` the
+    incarnations that seem to have ended and when they are removed.
     """
 
     def __init__(
@@ -90,22 +92,22 @@
         flows.on_opened = lambda channel: self.without_data.add(channel, clock())
 
     def flow_load(self) -> OwnLoad:
-        """Return the load by flows alone, where nothing measures requests."""
+        """Return the load by the number of flows, for services without HTTP."""
         return OwnLoad(self.settings.slots, len(self.flows.owned))
 
     def count_flows_without_data(self) -> int:
-        """Return how many flows were opened a moment ago and have sent nothing yet."""
+        """Return the number of recently opened flows without data."""
         return self.without_data.count(self.clock())
 
     def load(self) -> OwnLoad:
-        """Return this agent's load; without slots while it takes nothing new."""
+        """Return this agent's load, with 0 slots while it accepts no new flows."""
         full = len(self.flows.owned) >= self.settings.connections
         if self.leaving or full:
             return OwnLoad(0, len(self.flows.owned))
         return self.measure_load()
 
     def load_message(self) -> Load:
-        """Return what peers are told of the load."""
+        """Return the message that reports the load to peers."""
         agent_id = self.agent_id
         load = self.load()
         return load_message(
@@ -117,28 +119,28 @@
         )
 
     def send(self, name: str, message: Message) -> bool:
-        """Send to another agent on whichever stream is open."""
+        """Send to a process on an open stream; False if there is none."""
         peer = self.agents.get(name) or self.inbound.get(name)
         return peer is not None and peer.send(message)
 
-    def reachable(self) -> list[str]:
-        """Return the other agents of the service that a stream is open to."""
+    def peer_names(self) -> list[str]:
+        """Return the other known agents of the service."""
         return [name for name in self.group.incarnations if name != self.name]
 
     def peer_connected(self, peer: Peer) -> None:
-        """Take in a stream from another process."""
+        """Add the stream of a process that has connected."""
         if peer.hello is not None and peer.hello.role == "agent":
             peer.send(self.load_message())
         if self.agents.get(peer.name) is not peer:
             self.inbound[peer.name] = peer
 
     def peer_disconnected(self, peer: Peer) -> None:
-        """Forget a stream that has ended."""
+        """Remove a stream that has ended."""
         if self.inbound.get(peer.name) is peer:
             del self.inbound[peer.name]
 
     def receive(self, peer: Peer, message: OwnershipMessage) -> None:
-        """Take in what another agent asks, answers or tells."""
+        """Handle an ownership message from another agent."""
         match message:
             case Load(service=self.settings.service):
                 self.group.add_peer(message.name, message.incarnation)
@@ -157,11 +159,12 @@
                 peer.refused += 1
 
     def route(self, routed: Routed) -> None:
-        """Deliver a packet, open its flow, or pass it on."""
+        """Deliver a packet, open its flow, or forward the packet."""
         packet = routed.packet
         if not self._is_own_service(packet):
-            # A balancer with an older configuration may still think the address ours.
-            # Taken in, the packet would reach a backend server of another service.
+            # A balancer with an older configuration may still map the address to this
+            # service. Delivered here, the packet would reach a backend server of the
+            # wrong service.
             self.counts.wrong_service += 1
             return
         channel = self.flows.find(packet.flow)
@@ -181,7 +184,7 @@
             return
         self.counts.delivered += 1
         if channel.error is not None:
-            # The fabric's end may have missed that the flow was reset.
+            # The fabric may have lost the first RESET.
             self._send_reset(packet, channel.error.reason)
         elif packet.kind == Kind.OPEN:
             channel.accept(self.name)
@@ -207,7 +210,7 @@
                 self.tasks.start(self._open(routed), name="open")
 
     async def _open(self, routed: Routed) -> None:
-        """Decide on a new flow, and act on the decision."""
+        """Find or place the owner of a flow, and act on the result."""
         candidates = candidates_decoder.decode(routed.candidates)
         opened = await self.ownership.open(routed.packet, candidates, routed.hops)
         match opened:
@@ -219,7 +222,7 @@
                 self._send_reset(routed.packet, reason)
 
     def _forward(self, routed: Routed) -> None:
-        """Give a packet of a flow that isn't here to whoever may have it."""
+        """Forward a packet of a flow that isn't owned here."""
         flow = routed.packet.flow
         pending = self.ownership.pending.get(flow)
         if pending is not None:
@@ -236,7 +239,7 @@
                 self._forward_to_next(routed)
 
     def _forward_to_next(self, routed: Routed) -> None:
-        """Give a packet to the next candidate; once all had it, the flow is unknown."""
+        """Forward a packet to the next candidate; after all of them, reset the flow."""
         if routed.hops == 0:
             self._send_hint(routed, "")
         candidates = candidates_decoder.decode(routed.candidates)
@@ -246,13 +249,13 @@
             return
         self.counts.unknown += 1
         if routed.packet.kind == Kind.OPEN:
-            # A retired agent and one that still takes it for the home have passed an
-            # open to and fro. The end repeats it, and by then the retired one is gone.
+            # A retired agent and one that still has it as home forwarded the OPEN to
+            # each other. The fabric retries it, and by then the retired one is gone.
             return
         self._send_reset(routed.packet, "unknown flow")
 
     def _next_candidates(self, candidates: tuple[str, ...]) -> list[str]:
-        """Return the candidates after this agent, round to the ones before it."""
+        """Return the live candidates after this agent, then those before it."""
         at = candidates.index(self.name) + 1 if self.name in candidates else 0
         others = candidates[at:] + candidates[:at]
         return [
@@ -260,7 +263,10 @@
         ]
 
     def _forward_to(self, routed: Routed, name: str) -> None:
-        """Send a packet to another agent; without a stream the ends repeat it."""
+        """Send a packet to another agent; without a stream drop it.
+
+        The fabric or the owner sends it again.
+        """
         onward = Routed(
             routed.packet, routed.candidates, routed.hops + 1, routed.sender
         )
@@ -270,13 +276,13 @@
             self.counts.unreachable += 1
 
     def _send_hint(self, routed: Routed, owner: str) -> None:
-        """Tell the balancer that sent a packet where the next ones should go."""
+        """Send the flow's owner to the balancer that the packet came from."""
         balancer = self.inbound.get(routed.sender)
         if balancer is not None:
             balancer.send(Hint(routed.packet.flow, owner))
 
     def _send_reset(self, packet: Packet, reason: str) -> None:
-        """Tell the fabric's end at once that nobody will carry its flow."""
+        """Reset a flow at its fabric, so that the client doesn't wait for a timeout."""
         if packet.kind == Kind.RESET:
             return
         self.flows.transmit(
@@ -310,20 +316,20 @@
         self._reply(peer, answer)
 
     def _flow_ended(self, flow: int) -> None:
-        """Tell a flow's home that it is over."""
+        """Record the end of a flow owned here, and report it to the flow's home."""
         home = self.homes.pop(flow, "")
         self.ownership.directory.end_flow(flow, self.agent_id, self.clock())
         if home:
             self.send(home, Owner(flow, "", self.agent_id.incarnation))
 
     async def run(self) -> None:
-        """Note who is gone, and tell the peers of the load, as long as it runs."""
+        """Call ``update`` periodically until cancelled."""
         while True:
             self.update()
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     def update(self) -> None:
-        """Take in what has changed since the last look."""
+        """Handle changes of the group, expire entries, and send the load if due."""
         for agent in self.group.refresh():
             self.calls.fail_calls_to(agent.name)
             self.ownership.loads.remove(agent.name)
@@ -335,12 +341,13 @@
         self._send_load()
 
     def _remove_suspected(self) -> None:
-        """Take the lives for ended that have not spoken for themselves in time.
+        """Remove the suspected incarnations whose time is over.
 
-        An agent that was only slow is taken for gone as a dead one is, and goes on
-        under a new incarnation. Its flows reset at once would be cut although their
-        owner lives, as an open stream from it shows; given time, it registers them
-        anew. Without such a stream nothing speaks against its death.
+        Failure detection may remove an agent that is only slow; it then continues under
+        a new incarnation. If a stream to or from it is still open, it is probably
+        alive. So its flows are kept for ``SUSPECT_SECONDS``, in which it can register
+        them again; resetting them would break flows whose owner still serves them.
+        Without an open stream it is removed at once.
         """
         now = self.clock()
         due = [agent for until, agent in self.suspected if until <= now]
@@ -349,7 +356,7 @@
             handlers.remove_peer(self.ownership, agent.name, agent.incarnation)
 
     def _has_stream(self, name: str) -> bool:
-        """Whether a stream from another agent is open."""
+        """Whether a stream to or from another agent is open."""
         peer = self.agents.get(name) or self.inbound.get(name)
         return peer is not None and not peer.closed
 
@@ -362,17 +369,22 @@
                     self.send(name, message)
 
     def _move_to_next_homes(self, gone: str) -> None:
-        """Register the flows owned here whose home is gone with their next home.
+        """Register the flows owned here at their next home when a home is gone.
 
-        The directory has died with the home. Without an entry at the next one each
-        packet of these flows would be sent round the group until balancers learn.
+        The home's directory is lost with it. Without an entry at the next home, each
+        packet of these flows would be forwarded from candidate to candidate until the
+        balancers have learned the owner.
         """
         for flow, home in list(self.homes.items()):
             if home == gone:
                 self.homes[flow] = self._register(flow, self.agent_id)
 
     def _register(self, flow: int, owner: AgentId) -> str:
-        """Tell a flow's next home who owns it; return that home, "" if it is here."""
+        """Send a flow's owner to its next home.
+
+        Returns:
+            The name of that home, "" if it is this agent or none can be reached.
+        """
         for name in self.group.ranked(flow):
             if name == self.name and not self.retired:
                 return ""
@@ -382,10 +394,10 @@
         return ""
 
     def change_incarnation(self, incarnation: int) -> None:
-        """Go on under a new incarnation, since the present one was taken for ended.
+        """Continue under a new incarnation, after others removed the present one.
 
-        Peers have noted the flows owned here as lost with the old life, so they are
-        told anew.
+        Peers have recorded the flows owned here as lost with the old incarnation, so
+        they are registered again.
         """
         self.agent_id = AgentId(self.name, incarnation)
         self.ownership.agent_id = self.group.agent_id = self.agent_id
@@ -393,7 +405,7 @@
             self.homes[flow] = self._register(flow, self.agent_id)
 
     def retire(self) -> None:
-        """Hand the directory over to the flows' next homes, and place nothing more."""
+        """Send the directory to the flows' next homes, and place no more flows."""
         self.retired = True
         for flow, entry in list(self.ownership.directory.owners.entries.items()):
             self._register(flow, entry.value)
