--- a/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
@@ -112,8 +112,8 @@
     def change_incarnation(self, incarnation: int) -> None:
         """Continue under a new incarnation, after others removed the present one."""
         self.hello = msgspec.structs.replace(self.hello, incarnation=incarnation)
-        for sender in (self.fabrics, self.agents, self.server):
-            sender.hello = self.hello
+        for links in (self.fabrics, self.agents, self.server):
+            links.hello = self.hello
 
     def connect_agents(self) -> None:
         """Keep a stream to each known agent, and close the others."""
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/flows.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/flows.py
@@ -24,7 +24,7 @@
     finished: int = 0
     reset: int = 0
     idle: int = 0
-    refused: int = 0
+    rejected: int = 0
 
 
 class Flows:
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
@@ -6,14 +6,16 @@
 this out *claims* the flow first: every other candidate replies with the owner or home
 that it knows, and otherwise records the claim.
 
-    ownership = Ownership(me, "order-hub", group, local, ask)
-    match await ownership.open(packet, candidates):
-        case At(owner):
+    ownership = Ownership(
+        agent_id, "order-hub", group, local, call_peers, clock, directory
+    )
+    match await ownership.open(packet, candidates, hops):
+        case OwnedBy(owner):
             ...
 
 Two homes can't both place a flow: an agent that has recorded a claim no longer places
-the flow on its own, and an agent that has begun to place it rejects every claim. So of
-two homes that claim the flow from each other at most one places it.
+the flow on its own, and an agent that has begun to place it never grants a claim. So
+of two homes that claim the flow from each other at most one places it.
 """
 
 from collections.abc import Callable, Sequence
@@ -260,6 +262,7 @@
         return Err(unanswered) if unanswered is not None else Ok(named_homes)
 
     def _record_owner(self, flow: int, answer: ClaimAnswer) -> OpenResult:
+        """Record the owner that an answer names; reject the flow if it is gone."""
         if self.group.is_gone(answer.owner, answer.owner_incarnation):
             return OWNER_LOST
         owner = AgentId(answer.owner, answer.owner_incarnation)
@@ -269,6 +272,7 @@
         return OwnedBy(owner.name)
 
     def _yield_to_home(self, flow: int, answer: ClaimAnswer) -> OpenResult:
+        """Record the agent that keeps its claim as home, and forward the OPEN to it."""
         home = AgentId(answer.home, answer.home_incarnation)
         self.directory.homes.put(flow, home, self.clock())
         self.counts.yielded += 1
@@ -333,12 +337,10 @@
 
     def _choose_target(self, flow: int, excluded: set[str]) -> str | None:
         """Return the agent to place a flow on, "" for this one, None for no agent."""
-        unanswered_handoffs = self.unanswered_handoffs.get(flow, self.clock())
-        if unanswered_handoffs is not None:
-            if not self._has_ended(
-                unanswered_handoffs.name, unanswered_handoffs.incarnation
-            ):
-                return unanswered_handoffs.name
+        unanswered = self.unanswered_handoffs.get(flow, self.clock())
+        if unanswered is not None:
+            if not self._has_ended(unanswered.name, unanswered.incarnation):
+                return unanswered.name
             self.unanswered_handoffs.drop(flow)
         peers = [
             name
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/placement.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/placement.py
@@ -4,9 +4,9 @@
 their view of the load is out of date. A home keeps a flow while it has a free slot;
 otherwise it hands the flow off to the agent expected to finish a request first.
 
-    loads = Loads()
+    loads = LoadTable()
     loads.update(load)
-    choose(OwnLoad(slots=2, running=2, waiting=1), loads, ["agent-2", "agent-3"])
+    rank_targets(OwnLoad(slots=2, running=2), loads, ["agent-2", "agent-3"])
 """
 
 from dataclasses import dataclass, field
@@ -137,8 +137,8 @@
 
     The home's view of a peer is up to ``LOAD_INTERVAL_SECONDS`` old. A peer that has
     filled up since then rejects the hand-off, and its answer has its current load, so
-    the next choice is better. The last attempt has no limit, which bounds the number of
-    hand-offs for one OPEN.
+    the next choice is better. The last attempt has no limit, so that a flow is not
+    handed off again and again.
 
     Args:
         loads: The home's view, before this hand-off is counted in it.
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
@@ -256,8 +256,8 @@
 
     def _next_candidates(self, candidates: tuple[str, ...]) -> list[str]:
         """Return the live candidates after this agent, then those before it."""
-        at = candidates.index(self.name) + 1 if self.name in candidates else 0
-        others = candidates[at:] + candidates[:at]
+        start = candidates.index(self.name) + 1 if self.name in candidates else 0
+        others = candidates[start:] + candidates[:start]
         return [
             name for name in others if name != self.name and self.group.find_agent(name)
         ]
@@ -267,10 +267,10 @@
 
         The fabric or the owner sends it again.
         """
-        onward = Routed(
+        forwarded = Routed(
             routed.packet, routed.candidates, routed.hops + 1, routed.sender
         )
-        if name and self.send(name, onward):
+        if name and self.send(name, forwarded):
             self.counts.forwarded += 1
         else:
             self.counts.unreachable += 1
--- a/tests/ownership_agents.py
+++ b/tests/ownership_agents.py
@@ -1,4 +1,4 @@
-"""Agents of the ownership model, and the questions that their coroutines wait for."""
+"""Agents of the ownership simulation, and the calls that their coroutines await."""
 
 from dataclasses import dataclass, field
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class PendingCall:
-    """Questions of one step of a coroutine; it goes on once all have an answer."""
+    """One call to several peers; the coroutine continues when all have answered."""
 
     names: list
     message: object
@@ -24,9 +24,9 @@
 
 @dataclass
 class Agent:
-    """One life of an agent, as ``Group`` and ``Local`` for its own ``Ownership``."""
+    """One incarnation of an agent, also as ``PeerGroup`` and ``LocalAgent``."""
 
-    world: object
+    simulation: object
     name: str
     slots: int
     view: dict
@@ -42,11 +42,11 @@
             self,
             self,
             self.call_peers,
-            lambda: self.world.now,
+            lambda: self.simulation.now,
             Directory(idle_seconds=1000.0),
         )
         for name in self.view:
-            busy = self.world.believed.get(name, 0)
+            busy = self.simulation.initial_loads.get(name, 0)
             self.state.loads.update(load_message(SERVICE, name, 1, OwnLoad(2, busy)))
 
     async def call_peers(self, names, message):
@@ -54,7 +54,7 @@
         return await call
 
     def ranked(self, flow):
-        return self.world.rank(flow, [*self.view, self.name])
+        return self.simulation.rank(flow, [*self.view, self.name])
 
     def find_agent(self, name):
         return AgentId(name, 1) if name in self.view else None
@@ -63,30 +63,30 @@
         return name in self.gone
 
     def is_stable(self):
-        return self.world.trust_time or self.stable
+        return self.simulation.always_stable or self.stable
 
     def outranks(self, flow, one, other):
-        return self.world.outranks(flow, one, other)
+        return self.simulation.outranks(flow, one, other)
 
     def owns(self, flow):
         return flow in self.owned
 
     def open(self, packet):
         self.owned.add(packet.flow)
-        self.world.accepted(self, packet.flow)
+        self.simulation.accepted(self, packet.flow)
 
     def load(self):
         return OwnLoad(self.slots, min(self.slots, len(self.owned)))
 
-    def learn(self, name):
-        """Hear of a new agent."""
+    def add_agent(self, name):
+        """Add a new agent to this agent's view."""
         if name not in self.view and name not in self.gone and name != self.name:
             self.view[name] = 1
             self.stable = False
             self.state.loads.update(load_message(SERVICE, name, 1, OwnLoad(2, 0)))
 
-    def lose(self, name):
-        """Hear that an agent is gone."""
+    def remove_agent(self, name):
+        """Remove an agent that is gone from this agent's view."""
         self.gone.add(name)
         if self.view.pop(name, None):
             self.stable = False
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -1,9 +1,9 @@
-"""A small world for the ownership protocol: agents, a fabric, two balancers.
+"""Simulation of the ownership protocol with agents, a fabric and two balancers.
 
-The real ``Ownership`` runs on a network in memory. Whatever may happen next is a list
-of actions, and a chooser picks one: at random, or in turn through all of them.
-Messages overtake one another, are lost, or time out and arrive all the same; agents
-join and crash; agents and balancers hear of it one by one, in any order.
+Runs the real ``Ownership`` on an in-memory network. A chooser picks each next action
+from a list of all possible ones, at random or exhaustively. Messages are reordered,
+time out, or arrive after their timeout. Agents join and crash, and each agent and
+balancer learns of that separately, in any order.
 """
 
 from functools import partial
@@ -22,7 +22,7 @@
 ADDRESS = "127.0.0.1:80"
 
 
-def holders(records):
+def agent_names(records):
     return tuple(entry.value.name for entry in records.entries.values())
 
 
@@ -30,7 +30,7 @@
     return msgspec.structs.replace(message, question=0)
 
 
-def described(item):
+def comparable(item):
     kind, name, content, extra = item
     if kind == "open":
         return item
@@ -40,23 +40,24 @@
     return kind, name, asked, extra[0], without_question(extra[1].unwrap())
 
 
-def pending(waiting):
+def waiting_key(waiting):
     agent, _, call, _ = waiting
     asked = without_question(call.message)
     return agent.name, asked, tuple(call.names), tuple(sorted(call.answers))
 
 
-def fair_outranks(flow, one, other):
+def default_outranks(flow, one, other):
     first = score(flow, name_seed(one), 1.0)
     return first > score(flow, name_seed(other), 1.0)
 
 
-class World:
-    """Everything there is, and what may happen next.
+class Simulation:
+    """All processes, messages in flight, and the possible next actions.
 
-    ``lacking`` has an entry for each balancer: the agents that it does not know at the
-    start, as after minutes without the store. ``believed`` is how busy agents are in
-    the eyes of their peers at the start.
+    ``unknown_agents`` has for each balancer the agents that it does not know at the
+    start, as after minutes without the store. ``initial_loads`` has the number of busy
+    slots that peers assume of an agent at the start. With ``always_stable`` agents
+    treat their group as stable after every change.
     """
 
     def __init__(
@@ -65,23 +66,23 @@
         choose,
         *,
         agents=3,
-        lacking=((), ()),
+        unknown_agents=((), ()),
         opens=3,
         joins=1,
         crashes=1,
         timeouts=1,
         drains=1,
         slots=(0, 1, 1),
-        believed=None,
-        trust_time=False,
-        outranks=fair_outranks,
+        initial_loads=None,
+        always_stable=False,
+        outranks=default_outranks,
     ):
         self.flow = flow
         self.choose = choose
-        self.trust_time = trust_time
+        self.always_stable = always_stable
         self.outranks = outranks
         self.now = 0.0
-        self.left = {
+        self.remaining = {
             "open": opens,
             "join": joins,
             "crash": crashes,
@@ -89,19 +90,19 @@
             "drain": drains,
         }
         names = [f"agent-{number}" for number in range(agents)]
-        self.believed = believed or {}
+        self.initial_loads = initial_loads or {}
         self.agents = {}
         for number, name in enumerate(names):
             view = {other: 1 for other in names if other != name}
             self.agents[name] = Agent(self, name, slots[number % len(slots)], view)
-        self.views = [set(names) - set(late) for late in lacking]
-        self.flying = []
+        self.views = [set(names) - set(unknown) for unknown in unknown_agents]
+        self.in_flight = []
         self.waiting = []
         self.owner = ""
         self.refused = False
         self.crashed_owner = False
         self.steps = 0
-        self.problem = ""
+        self.failure = ""
 
     def rank(self, flow, names):
         seeds = [(name, name_seed(name), 1.0) for name in sorted(set(names))]
@@ -110,20 +111,20 @@
     def accepted(self, agent, flow):
         owners = [a.name for a in self.agents.values() if a.alive and flow in a.owned]
         if len(owners) > 1:
-            self.problem = f"two owners: {owners}"
+            self.failure = f"two owners: {owners}"
         self.owner = self.owner or agent.name
 
     def run(self):
-        """Let things happen until nothing more may; then let all come to rest."""
-        while self.left["open"] or self.flying or self.waiting:
+        """Take actions until none is left, then deliver the rest and check owners."""
+        while self.remaining["open"] or self.in_flight or self.waiting:
             if not self.advance():
                 break
-        return self.problem or self.rest()
+        return self.failure or self.finish()
 
     def advance(self):
-        """Take one action: first its kind is chosen, then which of the kind."""
+        """Take one action: choose its kind, then one action of that kind."""
         kinds = [actions for actions in self.actions() if actions]
-        if not kinds or self.problem:
+        if not kinds or self.failure:
             return False
         actions = kinds[self.choose(len(kinds))]
         actions[self.choose(len(actions))]()
@@ -131,7 +132,7 @@
         return True
 
     def actions(self):
-        """Return what may happen next, a list for each kind."""
+        """Return the possible next actions, one list for each kind."""
         alive = [agent for agent in self.agents.values() if agent.alive]
         asked = [
             (waiting, name)
@@ -139,36 +140,40 @@
             for name in waiting[2].names
             if name not in waiting[2].answers
         ]
-        enough = alive if len(alive) > 2 else []
+        crashable = alive if len(alive) > 2 else []
         return [
-            [partial(self.deliver, index) for index in range(len(self.flying))],
-            self.budget("open", self.send_open, [(b,) for b in range(len(self.views))]),
-            self.budget("time out", self.time_out, asked),
-            self.budget("crash", self.crash, [(agent,) for agent in enough]),
-            self.budget("join", self.join, [()]),
-            self.budget("drain", self.drain, [(agent,) for agent in alive]),
-            self.news(),
+            [partial(self.deliver, index) for index in range(len(self.in_flight))],
+            self.limited_actions(
+                "open", self.send_open, [(b,) for b in range(len(self.views))]
+            ),
+            self.limited_actions("time out", self.time_out, asked),
+            self.limited_actions(
+                "crash", self.crash, [(agent,) for agent in crashable]
+            ),
+            self.limited_actions("join", self.join, [()]),
+            self.limited_actions("drain", self.drain, [(agent,) for agent in alive]),
+            self.updates(),
         ]
 
-    def budget(self, kind, act, arguments):
-        """Return the actions of a kind while any of it are left."""
-        if not self.left[kind]:
+    def limited_actions(self, kind, act, arguments):
+        """Return the actions of a kind, none once its number is used up."""
+        if not self.remaining[kind]:
             return []
-        return [partial(self.spend, kind, act, *each) for each in arguments]
+        return [partial(self.use_budget, kind, act, *each) for each in arguments]
 
-    def news(self):
-        """What someone has not heard of yet."""
+    def updates(self):
+        """Return the membership updates that agents and balancers have not received."""
         found = []
         dead = [a.name for a in self.agents.values() if not a.alive]
         for agent in (a for a in self.agents.values() if a.alive):
             found += [
-                lambda a=agent, n=n: self.lose(a, n)
+                lambda a=agent, n=n: self.remove_agent(a, n)
                 for n in dead
                 if n not in agent.gone
             ]
             new = [n for n in self.agents if n not in agent.view and n != agent.name]
             found += [
-                lambda a=agent, n=n: a.learn(n)
+                lambda a=agent, n=n: a.add_agent(n)
                 for n in new
                 if n not in agent.gone and n not in dead
             ]
@@ -181,38 +186,40 @@
             ]
         return found
 
-    def spend(self, kind, act, *arguments):
-        self.left[kind] -= 1
+    def use_budget(self, kind, act, *arguments):
+        self.remaining[kind] -= 1
         act(*arguments)
 
     def send_open(self, balancer):
         candidates = self.rank(self.flow, self.views[balancer])
         if candidates:
-            self.flying.append(("open", candidates[0], candidates, 0))
+            self.in_flight.append(("open", candidates[0], candidates, 0))
 
     def deliver(self, index):
-        kind, name, content, extra = self.flying.pop(index)
+        kind, name, content, extra = self.in_flight.pop(index)
         agent = self.agents[name]
         if not agent.alive:
             return
         if kind == "open":
             packet = Packet(int(Kind.OPEN), self.flow, ADDRESS, "fabric")
-            work = agent.state.open(packet, content, extra)
-            self.step(agent, work, None, (content, extra))
+            coroutine = agent.state.open(packet, content, extra)
+            self.step(agent, coroutine, None, (content, extra))
         elif kind == "ask":
             self.answer(agent, content, extra)
         else:
             self.answered(content, name, *extra)
 
-    def answer(self, agent, call, asker):
+    def answer(self, agent, call, sender):
         message = call.message
-        agent.learn(message.home)
+        agent.add_agent(message.home)
         if type(message) is Claim:
             reply = answer_claim(agent.state, message)
         else:
             reply = answer_handoff(agent.state, message)
         if reply is not None:
-            self.flying.append(("answer", asker.name, call, (agent.name, Ok(reply))))
+            self.in_flight.append(
+                ("answer", sender.name, call, (agent.name, Ok(reply)))
+            )
 
     def answered(self, call, _, name, answer):
         for waiting in self.waiting:
@@ -226,27 +233,27 @@
         self.resume(waiting)
 
     def resume(self, waiting):
-        agent, work, call, context = waiting
+        agent, coroutine, call, context = waiting
         if len(call.answers) == len(call.names):
             self.waiting.remove(waiting)
             answers = [call.answers[name] for name in call.names]
-            self.step(agent, work, answers, context)
+            self.step(agent, coroutine, answers, context)
 
-    def step(self, agent, work, value, context):
+    def step(self, agent, coroutine, value, context):
         try:
-            call = work.send(value)
+            call = coroutine.send(value)
         except StopIteration as done:
             self.opened(done.value, context)
             return
-        self.waiting.append((agent, work, call, context))
+        self.waiting.append((agent, coroutine, call, context))
         for name in call.names:
-            self.flying.append(("ask", name, call, agent))
+            self.in_flight.append(("ask", name, call, agent))
 
     def opened(self, opened, context):
         candidates, hops = context
         match type(opened).__name__:
             case "ForwardTo" if hops < 2 * MAX_OPEN_HOPS:
-                self.flying.append(("open", opened.home, candidates, hops + 1))
+                self.in_flight.append(("open", opened.home, candidates, hops + 1))
             case "Rejected":
                 self.refused = True
 
@@ -265,8 +272,8 @@
     def drain(self, agent):
         agent.slots = 0
 
-    def lose(self, agent, name):
-        agent.lose(name)
+    def remove_agent(self, agent, name):
+        agent.remove_agent(name)
         for waiting in list(self.waiting):
             call = waiting[2]
             asked = waiting[0] is agent and name in call.names
@@ -275,49 +282,49 @@
                 self.resume(waiting)
 
     def state(self):
-        """Return all that what happens next depends on, to tell states apart."""
+        """Return everything that later steps depend on, to compare states."""
         agents = tuple(
             (
                 a.name,
                 (a.alive, a.stable, a.slots, tuple(sorted(a.view))),
                 (tuple(a.owned), tuple(sorted(a.gone))),
-                holders(a.state.directory.owners),
-                holders(a.state.directory.homes),
+                agent_names(a.state.directory.owners),
+                agent_names(a.state.directory.homes),
                 (
-                    holders(a.state.directory.ended),
-                    holders(a.state.unanswered_handoffs),
+                    agent_names(a.state.directory.ended),
+                    agent_names(a.state.unanswered_handoffs),
                 ),
                 tuple((p.placing, p.target) for p in a.state.pending.values()),
                 tuple(repr(peer) for peer in a.state.loads.peers.values()),
             )
             for a in self.agents.values()
         )
-        flying = tuple(sorted(map(repr, map(described, self.flying))))
-        waiting = tuple(sorted(repr(pending(each)) for each in self.waiting))
+        in_flight = tuple(sorted(map(repr, map(comparable, self.in_flight))))
+        waiting = tuple(sorted(repr(waiting_key(each)) for each in self.waiting))
         views = tuple(tuple(sorted(view)) for view in self.views)
-        return (agents, flying, waiting, views, tuple(self.left.values()))
+        return (agents, in_flight, waiting, views, tuple(self.remaining.values()))
 
-    def rest(self):
-        """Let all news arrive and all be delivered; then there is one owner."""
+    def finish(self):
+        """Deliver all updates and messages, retry the OPEN, and check for one owner."""
         for agent in self.agents.values():
             agent.slots = max(agent.slots, 1)
         for _ in range(8):
-            while self.flying or self.news():
-                for act in self.news():
+            while self.in_flight or self.updates():
+                for act in self.updates():
                     act()
-                while self.flying:
+                while self.in_flight:
                     self.deliver(0)
                 for waiting in list(self.waiting):
                     for name in waiting[2].names:
                         if name not in waiting[2].answers:
                             self.time_out(waiting, name)
-            if self.problem:
-                return self.problem
+            if self.failure:
+                return self.failure
             self.now += 2.0
             for balancer in range(len(self.views)):
                 self.send_open(balancer)
         alive = [a for a in self.agents.values() if a.alive]
         owners = [a.name for a in alive if self.flow in a.owned]
         if len(owners) == 1 or (self.crashed_owner and self.refused):
-            return self.problem
+            return self.failure
         return f"owners at rest: {owners}"
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory of flows: what ends an entry."""
+"""The flow directory: expiry and removal of entries."""
 
 from cornelspan_ownership.directory import AgentId, Directory, FlowAgents
 
@@ -24,8 +24,8 @@
 
 
 def test_gone_agent_is_forgotten_but_not_its_next_life():
-    # An agent restarts. Entries of its first life would send packets to a process
-    # that does not know the flows; those of its second life must stay.
+    # An agent restarts. Entries of its old incarnation would send packets to a process
+    # that doesn't know the flows; entries of its new incarnation must stay.
     directory = Directory(idle_seconds=10.0)
     directory.owners.put(1, OWNER, 0.0)
     directory.owners.put(2, AgentId("agent-1", 6), 0.0)
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -1,4 +1,4 @@
-"""Flows that an agent owns: idle time-out and the time after their end."""
+"""Flows owned by an agent: idle timeout, and answers after their end."""
 
 import asyncio
 import functools
@@ -19,8 +19,8 @@
 
 
 @asynccontextmanager
-async def world():
-    """Flows whose fabric keeps what is sent to it, swept every hundredth second."""
+async def running_flows():
+    """Yield flows that are swept every 10 ms, and the packets sent to their fabric."""
     sent = []
 
     async def serve(channel):
@@ -33,18 +33,18 @@
         yield flows, sent
 
 
-def in_world(test):
-    """Run a test in virtual time: on a busy machine a sleep may outlast idle time."""
+def with_running_flows(test):
+    """Run a test in virtual time, because a real sleep may exceed the idle timeout."""
 
     @functools.wraps(test)
     def run():
         run_virtually(run_test())
 
     async def run_test():
-        async with world() as (flows, sent):
+        async with running_flows() as (flows, sent):
             await test(flows, sent)
 
-    # Else pytest would look for fixtures of the test's own arguments.
+    # Otherwise pytest would take the test's arguments for fixtures.
     del run.__wrapped__
     return run
 
@@ -57,10 +57,10 @@
     return [each.body for each in sent if each.kind == Kind.RESET]
 
 
-@in_world
+@with_running_flows
 async def test_idle_flow_is_reset_and_its_end_is_told(flows, sent):
-    # A caller's machine vanishes without a word, and the fabric keeps the flow alive.
-    # Acknowledgements alone are no use of a flow, so it ends at its idle time-out.
+    # A client disappears without closing its connection, and the fabric keeps sending
+    # acknowledgements. These don't count as use, so the flow reaches its idle timeout.
     flows.open(packet(Kind.OPEN))
     for _ in range(100):
         flows.find(7).receive(packet(Kind.ACK))
@@ -71,7 +71,7 @@
     assert flows.counts.idle == 1
 
 
-@in_world
+@with_running_flows
 async def test_flow_that_is_used_outlives_its_idle_time(flows, sent):
     flows.open(packet(Kind.OPEN))
     for sequence in range(1, 31):
@@ -80,10 +80,10 @@
     assert resets(sent) == []
 
 
-@in_world
+@with_running_flows
 async def test_ended_flow_still_answers_for_a_while(flows, sent):
-    # The fabric missed the answer to its last packet and sends it again. Unknown by
-    # then, the flow would be reset although all of it had arrived.
+    # The fabric lost the answer to its last packet and sends the packet again. If the
+    # flow were unknown by then, it would be reset although all data had arrived.
     flows.open(packet(Kind.OPEN))
     flows.find(7).receive(packet(Kind.RESET))
     await asyncio.sleep(0.05)
--- a/tests/test_flows_through_changes.py
+++ b/tests/test_flows_through_changes.py
@@ -30,7 +30,7 @@
 
 @asynccontextmanager
 async def under_load(base_port, seed):
-    """Run a deployment under load; when the body is done no flow may have broken."""
+    """Run a deployment under load, and check at the end that no flow has broken."""
     plan = plan_of(base_port, seed)
     targets = tuple(
         Target(service=each.name, address=caller_address(plan, each.name))
@@ -93,8 +93,8 @@
 
 
 async def hold_views_apart(state, seconds):
-    """Two balancers, and who hears from them, learn of three changes much later."""
-    replays = [delay_news(state.balancers[number]) for number in (0, 1)]
+    """Delay three changes at two balancers and at the members that follow them."""
+    replays = [delay_updates(state.balancers[number]) for number in (0, 1)]
     await state.drain_agent("order-hub", 0)
     await state.start_agent("order-hub", 0)
     await state.drain_agent("order-hub", 1)
@@ -104,8 +104,8 @@
     await asyncio.sleep(0.3)
 
 
-def delay_news(balancer):
-    """Keep what a balancer hears of members; return what brings it all at once."""
+def delay_updates(balancer):
+    """Hold back a balancer's membership updates; return a function to apply them."""
     plane = balancer.control.plane
     kept = []
 
@@ -121,8 +121,8 @@
 
     def replay():
         del plane._announce, plane._remove
-        for news in kept:
-            news()
+        for update in kept:
+            update()
 
     return replay
 
@@ -132,15 +132,15 @@
 
 @pytest.mark.parametrize("change", CHANGES, ids=lambda change: change.__name__)
 async def test_no_flow_breaks(base_port, change):
-    # Callers hold flows open while what serves them changes. A flow that went to a
-    # second owner, or to nobody, would end in a reset that its caller sees as broken.
+    # Clients hold flows open while agents, balancers and endpoints change. A flow with
+    # a second owner, or without one, would be reset, which its client sees as broken.
     async with under_load(base_port, seed=1) as state:
         await change(state, 1.0)
 
 
 async def test_leaving_agent_opens_no_flow_while_balancers_still_send_to_it(base_port):
-    # Balancers name a leaving agent as home for as long as its running flows last. It
-    # takes none of the opens that they send it, from the moment it is told to leave.
+    # Balancers rank a leaving agent as home until its last flow has ended. From the
+    # moment it starts to leave, it must hand off all OPENs that they send to it.
     async with under_load(base_port, seed=2) as state:
         address = caller_address(state.plan, "order-hub")
         held = [await connect(address) for _ in range(12)]
@@ -162,7 +162,7 @@
 
 
 async def connect(address):
-    """Open a flow that stays open and asks nothing."""
+    """Open a flow that stays open and sends no request."""
     _, writer = await asyncio.open_connection(address.host, address.port)
     return writer
 
--- a/tests/test_levels_path.py
+++ b/tests/test_levels_path.py
@@ -1,4 +1,4 @@
-"""Service-level counts on their way from gateways to the store, in a deployment."""
+"""Service-level counts from gateways to the store, in a deployment."""
 
 import asyncio
 import dataclasses
@@ -19,8 +19,8 @@
 FAST = 0.2
 
 
-def hurry(monkeypatch):
-    """Let minutes last a second, so that they are sealed within the test."""
+def shorten_intervals(monkeypatch):
+    """Shorten minutes to a second, so that they are sealed within the test."""
     monkeypatch.setattr(objectives, "MINUTE_SECONDS", 1)
     monkeypatch.setattr(service_levels, "MINUTE_SECONDS", 1)
     monkeypatch.setattr(service_levels, "CHECK_SECONDS", FAST)
@@ -29,7 +29,7 @@
 
 
 async def stored(client):
-    """Return the requests of the busiest service that the store knows of."""
+    """Return the number of ``order-hub`` requests in the store."""
     found = (await summaries.read_summaries(client)).unwrap()
     return sum(
         bucket.good + bucket.bad
@@ -43,10 +43,10 @@
 async def test_every_request_is_counted_once_though_a_relay_dies(
     monkeypatch, base_port
 ):
-    # Agents count requests and report to both relays. In the middle of the load one
-    # relay dies; the agents report to the others what is not sealed. In the end the
-    # store knows each request that callers made, once.
-    hurry(monkeypatch)
+    # Agents report request counts to both relays, and one relay dies under load. The
+    # agents must report counts that are not sealed to the other relays, so that the
+    # store has each request exactly once.
+    shorten_intervals(monkeypatch)
     plan = dataclasses.replace(SHIRAKABA, base_port=base_port)
     target = Target(service="order-hub", address=caller_address(plan, "order-hub"))
     load = LoadSettings(targets=(target,), flows=60, rate=30.0, long_requests=5)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: caller, fabric, balancers, agents and servers on real sockets."""
+"""The whole path from client to backend server, on real sockets."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
     return Callers(LoadSettings(targets=(target,), seed=plan.seed, **load))
 
 
-def assert_all_whole(report):
+def assert_all_complete(report):
     assert report.broken == 0
     assert report.incomplete_answers == 0
     assert report.good_share == 1.0
@@ -26,7 +26,7 @@
     plan = dataclasses.replace(SHIRAKABA, base_port=base_port, **LOSSY)
     async with deployment(plan) as state:
         callers = callers_of(plan, "order-hub", flows=30, sizes=(200_000,))
-        assert_all_whole(await callers.run())
+        assert_all_complete(await callers.run())
         sprayed = [each.forwarder.counts.forwarded for each in state.balancers.values()]
         assert min(sprayed) > 0
 
@@ -47,26 +47,26 @@
         )
         report = await callers.run()
         assert report.finished == 200
-        assert_all_whole(report)
+        assert_all_complete(report)
 
 
 @pytest.mark.soak
 async def test_restarting_a_balancer_under_400_flows_breaks_no_flow(base_port):
-    # The scenario as it first showed a fault, at a load that fills the one process of
-    # the test: a balancer that joined too early had flows opened where no other looked.
+    # A balancer that joins too early opens flows at agents where no other balancer
+    # looks for them. The load is high enough to saturate the one process of the test.
     plan = dataclasses.replace(SHIRAKABA, base_port=base_port)
     async with deployment(plan) as state:
         callers = callers_of(plan, "order-hub", flows=400, rate=100.0, sizes=(2_000,))
         load = asyncio.create_task(callers.run())
         await asyncio.sleep(1.0)
         await state.restart_balancer(0)
-        assert_all_whole(await load)
+        assert_all_complete(await load)
 
 
 @pytest.mark.parametrize("killed", [0, 1, 2])
 async def test_killing_a_balancer_mid_transfer_breaks_no_flow(base_port, killed):
-    # A balancer dies while answers are under way. Acknowledgements that it held are
-    # lost, the ends repeat them by the other balancers, and every caller gets all.
+    # A balancer dies during a transfer, and the acknowledgements that it held are lost.
+    # Both ends must send them again through the other balancers.
     plan = dataclasses.replace(SHIRAKABA, base_port=base_port, **LOSSY)
     async with deployment(plan) as state:
         callers = callers_of(plan, "order-hub", flows=30, sizes=(200_000,))
@@ -74,32 +74,32 @@
         await asyncio.sleep(0.1)
         assert not load.done()
         await state.kill_balancer(killed)
-        assert_all_whole(await load)
+        assert_all_complete(await load)
 
 
 async def test_restarting_a_balancer_breaks_no_flow(base_port):
-    # A balancer that starts knows no agents yet. Sprayed to at once, it would name
-    # homes among the few it knows, and flows would be opened where no other balancer
-    # looks for them; so it joins the fabric only when it is linked to all.
+    # A balancer that has just started knows only some agents. With packets at once, it
+    # would open flows at agents where no other balancer looks for them. So it joins
+    # the fabric only when it is connected to all agents.
     plan = dataclasses.replace(SHIRAKABA, base_port=base_port)
     async with deployment(plan) as state:
         callers = callers_of(plan, "order-hub", flows=100, rate=20.0, sizes=(2_000,))
         load = asyncio.create_task(callers.run())
         await asyncio.sleep(1.0)
         await state.restart_balancer(0)
-        assert_all_whole(await load)
+        assert_all_complete(await load)
 
 
 async def test_restarted_endpoint_gets_its_share_of_work_again(base_port):
-    # An endpoint leaves and comes back. It has no measure of its service time yet, and
-    # during its ramp it tells a long one; either way it must get requests again.
+    # A restarted endpoint has no measured service time at first, and reports a long one
+    # during slow start. It must get requests again in both cases.
     plan = dataclasses.replace(SHIRAKABA, base_port=base_port)
     async with deployment(plan) as state:
         await state.drain_agent("order-hub", 0)
         await state.start_agent("order-hub", 0)
         await state.wait_ready()
         callers = callers_of(plan, "order-hub", flows=160, rate=16.0, sizes=(2_000,))
-        assert_all_whole(await callers.run())
+        assert_all_complete(await callers.run())
         runs = state.journal.per_endpoint("order-hub")
         mean = sum(runs.values()) / 7
         assert runs.get("order-hub-1", 0) > mean / 5
@@ -109,5 +109,5 @@
     plan = dataclasses.replace(SHIRAKABA, base_port=base_port)
     async with deployment(plan) as state:
         report = await callers_of(plan, "receipt-render", flows=10).run()
-        assert_all_whole(report)
+        assert_all_complete(report)
         assert {run.service for run in state.journal.runs} == {"receipt-render"}
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""What an agent does with each packet: deliver, pass on, or refuse at once."""
+"""How an agent handles each packet: it delivers, forwards or rejects it."""
 
 import asyncio
 from types import SimpleNamespace
@@ -33,7 +33,7 @@
 
 
 class FakePeer:
-    """A stream that keeps what is sent on it."""
+    """A stream that records the messages sent on it."""
 
     def __init__(self, name, role="agent"):
         self.name = name
@@ -52,7 +52,7 @@
     """A router between two peers, a balancer and a fabric."""
     members = Members()
     for name in NAMES:
-        members.announce(announce(name))
+        members.announce(announcement(name))
     configuration = Configuration()
     for address, service in ((ADDRESS, "order-hub"), (OTHER, "receipt-render")):
         configuration.by_address[address] = SimpleNamespace(name=service)
@@ -74,7 +74,7 @@
         )
 
 
-def announce(name):
+def announcement(name):
     return Announce(
         name, "agent", "chuo-hall", 1, "127.0.0.1", 1, "order-hub", 1.0, 2, False
     )
@@ -92,8 +92,8 @@
 
 
 async def test_packet_of_another_service_is_never_taken(world):
-    # A balancer's configuration is old, or a peer is confused: a packet or hand-off of
-    # another address comes here. Its caller must not be answered by this service.
+    # A packet or hand-off for another service's address arrives, for example because a
+    # balancer's configuration is outdated. This service must not answer it.
     world.router.route(routed(Kind.OPEN, address=OTHER))
     load = world.router.load_message()
     packet = routed(Kind.OPEN, address=OTHER).packet
@@ -134,8 +134,9 @@
 
 
 async def test_flow_of_a_dead_owner_is_refused_at_once(world):
-    # The owner dies. Placed again, the flow's new owner might run once more what the
-    # dead one has run; left alone, its caller would wait. So it is told at once.
+    # If the flow of a dead owner were placed again, the new owner could run a request a
+    # second time; if its packets were dropped, the client would wait for a timeout. So
+    # the flow is reset at once.
     world.router.update()
     world.router.receive(world.agents["hub-2"], Owner(7, "hub-3", 1))
     world.agents["hub-3"].closed = True
@@ -147,9 +148,9 @@
 
 
 async def test_flow_of_an_owner_that_only_seemed_dead_goes_on(world):
-    # The owner is so slow that others take it for dead, but its stream is open. Its
-    # flow must not be reset: it wakes, goes on under a new incarnation and registers
-    # the flow anew, and the packets reach it again.
+    # Failure detection removes an owner that is only slow; its stream is still open.
+    # The flow must not be reset: the owner continues under a new incarnation and
+    # registers the flow again, after which packets must reach it.
     world.router.update()
     owner = world.agents["hub-3"]
     world.router.receive(world.agents["hub-2"], Owner(7, "hub-3", 1))
@@ -157,7 +158,9 @@
     world.router.update()
     world.router.route(routed(Kind.DATA))
     assert world.to_fabric == []
-    world.members.announce(msgspec.structs.replace(announce("hub-3"), incarnation=2))
+    world.members.announce(
+        msgspec.structs.replace(announcement("hub-3"), incarnation=2)
+    )
     world.router.update()
     world.router.receive(owner, Owner(7, "hub-3", 2))
     world.router.suspected = [(0.0, agent) for _, agent in world.router.suspected]
@@ -186,8 +189,8 @@
     world.members.remove("hub-3", 1)
     world.router.update()
     ranked = world.router.group.ranked(7)
-    told = sent(world.agents["hub-2"], Owner)
-    assert told == ([Owner(7, "hub-1", 1)] if ranked[0] == "hub-2" else [])
+    messages = sent(world.agents["hub-2"], Owner)
+    assert messages == ([Owner(7, "hub-1", 1)] if ranked[0] == "hub-2" else [])
 
 
 async def test_retiring_agent_hands_its_directory_over(world):
@@ -196,16 +199,18 @@
     for flow in flows:
         world.router.ownership.directory.owners.put(flow, AgentId("hub-3", 1), 0.0)
     world.router.retire()
-    told = [message for peer in world.agents.values() for message in sent(peer, Owner)]
-    assert sorted(message.flow for message in told) == list(flows)
+    messages = [
+        message for peer in world.agents.values() for message in sent(peer, Owner)
+    ]
+    assert sorted(message.flow for message in messages) == list(flows)
 
 
 async def test_leaving_agent_keeps_no_new_flow_and_tells_so_at_once(world):
     world.router.update()
     world.router.leaving = True
     world.router.update()
-    told = world.agents["hub-2"].sent[-1]
-    assert told.slots == 0
+    last_load = world.agents["hub-2"].sent[-1]
+    assert last_load.slots == 0
     load = world.router.load_message()
     handoff = Handoff(
         "order-hub", routed(Kind.OPEN).packet, "hub-2", 1, 1, "", -1, load
