--- a/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
@@ -195,7 +195,7 @@
                 members,
                 hello=state.hello,
                 announcement=state.announcement,
-                renew=state.change_incarnation,
+                on_new_incarnation=state.change_incarnation,
                 on_members=state.connect_agents,
                 tls=tls.client,
             ) as state.control,
@@ -207,7 +207,7 @@
                 tls=tls.server,
             ) as state.server,
         ):
-            state.control.plane.collect = state.levels.add_counts
+            state.control.plane.collect_counts = state.levels.add_counts
             tasks.start(state.levels.run(state.control.plane), name="service levels")
             tasks.start(state.join(), name="join the fabrics")
             tasks.start(reload_tls(tls), name="reload TLS files")
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
@@ -60,8 +60,8 @@
         object in the store.
         """
         collector = self.collectors.setdefault(datacentre, Collector(datacentre))
-        collector.take(counts)
-        return Sealed(collector.sealed_for(counts.agent, counts.incarnation))
+        collector.record(counts)
+        return Sealed(collector.sealed_minute(counts.agent, counts.incarnation))
 
     def check(self, now: int) -> list[AlertChange]:
         """Compute the burn rates of all services again.
@@ -109,13 +109,13 @@
         """
         while True:
             await asyncio.sleep(CHECK_SECONDS)
-            if not plane.is_relay and not plane.offices():
+            if not plane.is_relay and not plane.primary_datacentres():
                 # The agents now report to other relays, and send them everything that
                 # is not sealed yet.
                 self.collectors.clear()
                 continue
             changes = self.check(int(time.time()) // MINUTE_SECONDS)
-            if plane.offices():
+            if plane.primary_datacentres():
                 # Both relays of a data centre find the same; only the primary logs it.
                 log_changes(changes, self.burns)
             for collector in list(self.collectors.values()):
--- a/packages/cornelspan-control/src/cornelspan_control/changes.py
+++ b/packages/cornelspan-control/src/cornelspan_control/changes.py
@@ -5,11 +5,11 @@
         case Ok(accepted): ...
         case Err(Conflict() as conflict): ...
 
-A change writes its new version and index under its own id, then moves the head. The
-head's conditional update is the moment of acceptance: before it nothing counts, after
-it every daemon will put it in force. If the answer is lost, the change reads the head
-back: its own id there settles it. If the id is not there, the same conditional update
-is sent again, so that a first one still on its way can't take effect as well.
+A change writes its new version and index under its own id, then updates the head. The
+conditional update of the head is the commit point: before it the change has no effect,
+after it every daemon will put it in force. If the response is lost, the head is read
+again, and the change was accepted if the head lists its id. If it doesn't, the same
+conditional update is sent again, so that at most one of the two can take effect.
 """
 
 import asyncio
@@ -27,11 +27,11 @@
 )
 from cornelspan_control.profiles import Profile, Service
 from cornelspan_control.records import (
-    HEAD,
-    INDEX,
-    KEPT_VERSIONS,
-    RECENT_CHANGES,
-    Accepted,
+    HEAD_NAME,
+    INDEX_PREFIX,
+    MAX_ANCESTORS,
+    MAX_RECENT_CHANGES,
+    AcceptedChange,
     Head,
     Index,
     Kind,
@@ -44,19 +44,19 @@
     version_name,
 )
 from cornelspan_control.store import (
-    NO_OBJECT,
+    NO_VERSION,
     StoreClient,
 )
 
-ID_BYTES = 8
-SETTLE_SECONDS = 20.0
-PAUSE_SECONDS = 0.01
-PAUSE_LIMIT_SECONDS = 1.0
+CHANGE_ID_BYTES = 8
+TIMEOUT_SECONDS = 20.0
+BACKOFF_SECONDS = 0.01
+BACKOFF_LIMIT_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """A change that was refused by validation; nothing was written."""
+    """The change is not valid; nothing was written."""
 
     reason: str
 
@@ -77,25 +77,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Somebody else changed the same profile or service first.
+    """The profile or service has changed since the operator read it.
 
-    ``theirs`` is the version now in force, None if they deleted it.
+    ``current`` is the version now in force, None if it was deleted or can't be read.
     """
 
     kind: Kind
     name: str
-    theirs: Version | None
+    current: Version | None
 
     def __str__(self) -> str:
         what = f"{self.kind[:-1]} {self.name}"
-        if self.theirs is None:
+        if self.current is None:
             return f"{what} was deleted meanwhile"
-        return f"{what} was changed meanwhile by {self.theirs.author}"
+        return f"{what} was changed meanwhile by {self.current.author}"
 
 
 @dataclass(frozen=True, slots=True)
-class Unsettled:
-    """Whether the change took effect is unknown; its id will settle it later."""
+class Indeterminate:
+    """Whether the change took effect is unknown.
+
+    Calling ``accept`` with the same change later finds out.
+    """
 
     change: str
     reason: str
@@ -106,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotWritten:
-    """The store could not take the change, and it is surely not accepted."""
+    """The store is unavailable or refused the change, which was not accepted."""
 
     reason: str
 
@@ -114,15 +117,19 @@
         return f"not accepted: {self.reason}"
 
 
-ChangeError = Invalid | NotFound | Conflict | Unsettled | NotWritten
+ChangeError = Invalid | NotFound | Conflict | Indeterminate | NotWritten
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What an operator wants: a new value of a profile or service, None to delete it.
-
-    ``base`` is the version that the operator saw, "" when it must not exist yet, and
-    ``floor`` the head's object version it was seen at.
+    """An operator's change to one profile or service.
+
+    Attributes:
+        value: The new value; None deletes the profile or service.
+        change: Id of the change, and of the version that it creates.
+        at: When it was made, in seconds since the epoch.
+        base: Id of the version that the operator saw; "" if there must be none yet.
+        min_version: Object version of the head when ``base`` was read.
     """
 
     kind: Kind
@@ -132,7 +139,7 @@
     base: str
     change: str
     at: float
-    floor: int = NO_OBJECT
+    min_version: int = NO_VERSION
 
 
 def new_change(
@@ -142,75 +149,89 @@
     *,
     author: str,
     base: str,
-    floor: int = NO_OBJECT,
+    min_version: int = NO_VERSION,
 ) -> Change:
-    """Return a change with an id of its own."""
-    change = secrets.token_hex(ID_BYTES)
-    return Change(kind, name, value, author, base, change, time.time(), floor)
+    """Return a change with a new random id."""
+    change = secrets.token_hex(CHANGE_ID_BYTES)
+    return Change(kind, name, value, author, base, change, time.time(), min_version)
 
 
 async def accept(
-    client: StoreClient, change: Change, *, settle_seconds: float = SETTLE_SECONDS
-) -> Result[Accepted, ChangeError]:
-    """Bring a change into the configuration, exactly once.
+    client: StoreClient, change: Change, *, timeout_seconds: float = TIMEOUT_SECONDS
+) -> Result[AcceptedChange, ChangeError]:
+    """Apply a change to the configuration, at most once.
 
-    A change of another profile or service that comes in between is no conflict; the
-    change is then validated again on top of it.
+    A concurrent change to another profile or service is no conflict; this change is
+    then validated again on top of it.
 
     Args:
         client: The store.
-        change: The change; calling again with the same one never applies it twice.
-        settle_seconds: How long to try while the store gives no clear answer.
+        change: The change. The call is idempotent for the same change.
+        timeout_seconds: How long to retry while the store is unavailable or the outcome
+            is unknown.
 
     Returns:
         The accepted change, or why it was not accepted.
     """
-    attempt = _Attempt(client, change, floor=change.floor)
-    pause = PAUSE_SECONDS
-    ends = time.monotonic() + settle_seconds
+    attempt = _ChangeAttempt(client, change, min_version=change.min_version)
+    backoff = BACKOFF_SECONDS
+    deadline = time.monotonic() + timeout_seconds
     while True:
         outcome = await attempt.run()
         if outcome is not None:
             return outcome
-        if time.monotonic() + pause > ends:
-            return Err(attempt.gave_up())
-        await asyncio.sleep(pause * client.random.uniform(0.5, 1.0))
-        pause = min(2 * pause, PAUSE_LIMIT_SECONDS)
+        if time.monotonic() + backoff > deadline:
+            return Err(attempt.timeout_error())
+        await asyncio.sleep(backoff * client.random.uniform(0.5, 1.0))
+        backoff = min(2 * backoff, BACKOFF_LIMIT_SECONDS)
 
 
-class _Attempt:
-    """One change on its way: what is known of the head, and what was sent."""
+class _ChangeAttempt:
+    """Progress of one change.
 
-    def __init__(self, client: StoreClient, change: Change, *, floor: int) -> None:
+    Attributes:
+        min_version: Object version of the head known to exist; older reads are stale.
+        head_sent: Whether an update of the head was sent whose outcome is unknown.
+        first_sent_revision: Revision of the head before the first such update.
+        reason: Why the last attempt failed.
+    """
+
+    def __init__(
+        self, client: StoreClient, change: Change, *, min_version: int
+    ) -> None:
         self.client = client
         self.change = change
-        self.floor = floor
-        self.sent = False
-        self.sent_revision = 0
+        self.min_version = min_version
+        self.head_sent = False
+        self.first_sent_revision = 0
         self.reason = ""
 
-    async def run(self) -> Result[Accepted, ChangeError] | None:
-        """Try once; None if it has to be tried again."""
-        match await read_head(self.client, floor=self.floor):
+    async def run(self) -> Result[AcceptedChange, ChangeError] | None:
+        """Try once; return None if it has to be retried."""
+        match await read_head(self.client, min_version=self.min_version):
             case Err(error):
-                return self.again(error)
+                return self.record_failure(error)
             case Ok((head, version)):
-                self.floor = version
-        if settled := head.find(self.change.change):
-            return Ok(settled)
-        if self.sent and head.since(self.sent_revision) is None:
-            return Err(Unsettled(self.change.change, "too many changes came since"))
+                self.min_version = version
+        if accepted := head.find(self.change.change):
+            return Ok(accepted)
+        if self.head_sent and head.changes_since(self.first_sent_revision) is None:
+            return Err(
+                Indeterminate(
+                    self.change.change, "the head no longer lists all later changes"
+                )
+            )
         match await read_index(self.client, head):
             case Err(error):
-                return self.again(error)
+                return self.record_failure(error)
             case Ok(index):
                 pass
-        if problem := await self.check(index):
+        if problem := await self.validate(index):
             return Err(problem)
         return await self.write(head, index, version)
 
-    async def check(self, index: Index) -> ChangeError | None:
-        """Validate against what is in force now."""
+    async def validate(self, index: Index) -> ChangeError | None:
+        """Return why the change can't be applied to an index, or None if it can."""
         change = self.change
         current = index.version(change.kind, change.name)
         if current != change.base:
@@ -218,48 +239,56 @@
         if change.value is None and not current:
             return NotFound(change.kind, change.name)
         if change.kind == "profiles":
-            return _check_profile(change, index)
-        return _check_service(change, index)
+            return _validate_profile(change, index)
+        return _validate_service(change, index)
 
     async def conflict(self, current: str) -> Conflict:
-        """Return the conflict with the other's version in it."""
+        """Return a conflict that holds the current version."""
         kind, name = self.change.kind, self.change.name
         if not current:
             return Conflict(kind, name, None)
-        theirs = await read_version(self.client, kind, name, current)
-        return Conflict(kind, name, theirs.ok())
+        read = await read_version(self.client, kind, name, current)
+        return Conflict(kind, name, read.ok())
 
     async def write(
         self, head: Head, index: Index, version: int
-    ) -> Result[Accepted, ChangeError] | None:
-        """Write version and index, then move the head."""
+    ) -> Result[AcceptedChange, ChangeError] | None:
+        """Write the version and the index, then update the head.
+
+        Returns:
+            None if it has to be retried.
+        """
         change = self.change
-        dropped: tuple[str, ...] = ()
+        expired: tuple[str, ...] = ()
         if change.value is not None:
             match await self.ancestors():
                 case Err(error):
-                    return self.again(error)
+                    return self.record_failure(error)
                 case Ok(ancestors):
-                    dropped = ancestors[KEPT_VERSIONS:]
-            record = _version_record(change, ancestors[:KEPT_VERSIONS])
+                    expired = ancestors[MAX_ANCESTORS:]
+            record = _version_record(change, ancestors[:MAX_ANCESTORS])
             name = version_name(change.kind, change.name, change.change)
             if error := await self.create(name, record):
-                return self.again(error)
+                return self.record_failure(error)
         revision = head.revision + 1
         index_id = f"{change.change}-{revision}"
-        if error := await self.create(INDEX + index_id, _changed(index, change)):
-            return self.again(error)
-        accepted = _accepted(change, revision)
-        new_head = _next_head(head, accepted, index_id)
-        self.sent_revision = self.sent_revision if self.sent else head.revision
-        moved = await self.move(new_head, version)
-        if moved:
-            await self.clean_up(head, dropped)
+        if error := await self.create(
+            INDEX_PREFIX + index_id, _index_with(index, change)
+        ):
+            return self.record_failure(error)
+        accepted = _accepted_change(change, revision)
+        new_head = _head_with(head, accepted, index_id)
+        self.first_sent_revision = (
+            self.first_sent_revision if self.head_sent else head.revision
+        )
+        updated = await self.update_head(new_head, version)
+        if updated:
+            await self.clean_up(head, expired)
             return Ok(accepted)
         return None
 
     async def ancestors(self) -> Result[tuple[str, ...], object]:
-        """Return the ids of the versions before the new one, newest first."""
+        """Return the ids of the previous versions, newest first."""
         change = self.change
         if not change.base:
             return Ok(())
@@ -267,66 +296,84 @@
         return read.map(lambda seen: (change.base, *seen.ancestors))
 
     async def create(self, name: str, record: Version | Index) -> object | None:
-        """Write an object that never changes; one that is there already is ours."""
+        """Write an immutable object and return the error, if any.
+
+        Its name contains the id of this change, so an object of that name was written
+        by an earlier attempt and is no conflict.
+        """
         value = msgspec.json.encode(record)
-        match await self.client.put(name, value, expected=NO_OBJECT):
+        match await self.client.put(name, value, expected=NO_VERSION):
             case Ok(_) | Err(VersionConflict()):
                 return None
             case Err(error):
                 return error
 
-    async def move(self, head: Head, version: int) -> bool:
-        """Move the head; False if it did not, or nobody knows."""
+    async def update_head(self, head: Head, version: int) -> bool:
+        """Update the head; return False if that failed or the outcome is unknown."""
         value = msgspec.json.encode(head)
-        match await self.client.put(HEAD, value, expected=version):
+        match await self.client.put(HEAD_NAME, value, expected=version):
             case Ok(_):
                 return True
             case Err(VersionConflict() as error):
-                self.floor = max(self.floor, error.version)
+                self.min_version = max(self.min_version, error.version)
                 self.reason = str(error)
             case Err(OutcomeUnknown() as error):
-                self.sent = True
+                self.head_sent = True
                 self.reason = str(error)
             case Err(error):
                 self.reason = str(error)
         return False
 
-    async def clean_up(self, head: Head, dropped: tuple[str, ...]) -> None:
-        """Delete what is no longer kept; what stays behind by a failure is harmless."""
+    async def clean_up(self, head: Head, expired: tuple[str, ...]) -> None:
+        """Delete expired versions and the oldest index.
+
+        Errors are ignored, since an object that is left over has no effect.
+        """
         change = self.change
-        for old in dropped:
+        for old in expired:
             await self.client.delete(version_name(change.kind, change.name, old))
-        if len(head.recent) >= RECENT_CHANGES:
+        if len(head.recent) >= MAX_RECENT_CHANGES:
             oldest = head.recent[0]
-            await self.client.delete(f"{INDEX}{oldest.change}-{oldest.revision}")
+            await self.client.delete(f"{INDEX_PREFIX}{oldest.change}-{oldest.revision}")
+
+    def record_failure(
+        self, error: object
+    ) -> Result[AcceptedChange, ChangeError] | None:
+        """Record why an attempt failed.
 
-    def again(self, error: object) -> Result[Accepted, ChangeError] | None:
-        """Note why this try failed; a refusal for good ends the change."""
+        Returns:
+            An error if the store refused the call permanently and no update of the head
+            may have taken effect, else None to retry.
+        """
         self.reason = str(error)
-        if isinstance(error, CallRefused) and not error.retry_seconds and not self.sent:
+        if (
+            isinstance(error, CallRefused)
+            and not error.retry_seconds
+            and not self.head_sent
+        ):
             return Err(NotWritten(self.reason))
         return None
 
-    def gave_up(self) -> ChangeError:
-        """Return the error for a change that found no clear answer in time."""
-        if self.sent:
-            return Unsettled(self.change.change, self.reason)
+    def timeout_error(self) -> ChangeError:
+        """Return the error for a change that was not accepted within the timeout."""
+        if self.head_sent:
+            return Indeterminate(self.change.change, self.reason)
         return NotWritten(self.reason)
 
 
-def _check_profile(change: Change, index: Index) -> ChangeError | None:
+def _validate_profile(change: Change, index: Index) -> ChangeError | None:
     if change.value is not None:
         return None
-    users = [
+    services = [
         n for n, entry in index.services.items() if entry.service.profile == change.name
     ]
-    if users:
-        names = ", ".join(sorted(users))
+    if services:
+        names = ", ".join(sorted(services))
         return Invalid(f"profile {change.name} is in use by {names}")
     return None
 
 
-def _check_service(change: Change, index: Index) -> ChangeError | None:
+def _validate_service(change: Change, index: Index) -> ChangeError | None:
     if not isinstance(change.value, Service):
         return None
     service = change.value
@@ -336,7 +383,7 @@
     known = entry.service if entry else service
     if known.address != service.address:
         return Invalid(
-            f"service {service.name}: its address {known.address} never changes, "
+            f"service {service.name}: its address {known.address} can't be changed, "
             "since running flows would reach another service; create a new service"
         )
     for name, entry in index.services.items():
@@ -357,8 +404,8 @@
     )
 
 
-def _changed(index: Index, change: Change) -> Index:
-    """Return the index with the change in it."""
+def _index_with(index: Index, change: Change) -> Index:
+    """Return a copy of the index with the change applied."""
     profiles, services = dict(index.profiles), dict(index.services)
     match change.value:
         case None if change.kind == "profiles":
@@ -373,8 +420,8 @@
     return Index(profiles=profiles, services=services)
 
 
-def _accepted(change: Change, revision: int) -> Accepted:
-    return Accepted(
+def _accepted_change(change: Change, revision: int) -> AcceptedChange:
+    return AcceptedChange(
         revision=revision,
         change=change.change,
         author=change.author,
@@ -385,6 +432,6 @@
     )
 
 
-def _next_head(head: Head, accepted: Accepted, index: str) -> Head:
-    recent = (*head.recent, accepted)[-RECENT_CHANGES:]
+def _head_with(head: Head, accepted: AcceptedChange, index: str) -> Head:
+    recent = (*head.recent, accepted)[-MAX_RECENT_CHANGES:]
     return Head(revision=accepted.revision, index=index, recent=recent)
--- a/packages/cornelspan-control/src/cornelspan_control/reading.py
+++ b/packages/cornelspan-control/src/cornelspan_control/configuration_reader.py
@@ -1,4 +1,4 @@
-"""Reading the accepted configuration from the store, whole or by what changed."""
+"""Reads the accepted configuration from the store, as a snapshot or a delta."""
 
 import asyncio
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 )
 from cornelspan_control.configuration import Delta, Snapshot
 from cornelspan_control.records import (
-    Accepted,
+    AcceptedChange,
     Head,
     Kind,
     Version,
@@ -21,7 +21,7 @@
     read_version,
 )
 from cornelspan_control.store import (
-    NO_OBJECT,
+    NO_VERSION,
     StoreClient,
 )
 
@@ -29,27 +29,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """A profile or service as an operator sees it, to base a change on.
+class CurrentVersion:
+    """A profile or service as read from the store, to base a change on.
 
-    ``version`` is None if there is none of that name.
+    Attributes:
+        head: Head of the configuration that was read.
+        min_version: Object version of that head; later reads must not be older.
+        version: The version in force; None if the name doesn't exist.
     """
 
     head: Head
-    floor: int
+    min_version: int
     version: Version | None
 
     @property
     def base(self) -> str:
-        """The id to base a change on."""
+        """Id of the version in force, "" if there is none."""
         return self.version.change if self.version else ""
 
 
-async def see(
-    client: StoreClient, kind: Kind, name: str, *, floor: int = NO_OBJECT
-) -> Result[Seen, ReadError]:
-    """Read one profile or service as in force now."""
-    match await read_head(client, floor=floor):
+async def read_current(
+    client: StoreClient, kind: Kind, name: str, *, min_version: int = NO_VERSION
+) -> Result[CurrentVersion, ReadError]:
+    """Read the current version of one profile or service."""
+    match await read_head(client, min_version=min_version):
         case Err(error):
             return Err(error)
         case Ok((head, object_version)):
@@ -60,19 +63,19 @@
         case Ok(index):
             change = index.version(kind, name)
     if not change:
-        return Ok(Seen(head, object_version, None))
+        return Ok(CurrentVersion(head, object_version, None))
     read = await read_version(client, kind, name, change)
-    return read.map(lambda version: Seen(head, object_version, version))
+    return read.map(lambda version: CurrentVersion(head, object_version, version))
 
 
-async def history(
+async def read_history(
     client: StoreClient, kind: Kind, name: str, *, limit: int
 ) -> Result[list[Version], ReadError]:
     """Return the versions of a profile or service, newest first."""
-    match await see(client, kind, name):
+    match await read_current(client, kind, name):
         case Err(error):
             return Err(error)
-        case Ok(Seen(version=None)):
+        case Ok(CurrentVersion(version=None)):
             return Ok([])
         case Ok(seen):
             newest = seen.version
@@ -83,10 +86,10 @@
 
 
 async def read_snapshot(
-    client: StoreClient, *, floor: int = NO_OBJECT
+    client: StoreClient, *, min_version: int = NO_VERSION
 ) -> Result[Snapshot, ReadError]:
     """Read the whole configuration at the head's revision."""
-    match await read_head(client, floor=floor):
+    match await read_head(client, min_version=min_version):
         case Err(error):
             return Err(error)
         case Ok((head, _)):
@@ -96,12 +99,12 @@
 async def read_newer(
     client: StoreClient, revision: int
 ) -> Result[Snapshot | Delta | None, ReadError]:
-    """Read what was accepted after a revision.
+    """Read the changes accepted after a revision.
 
     Returns:
-        None if nothing was, the changes if the head still lists them all, else the
-        whole configuration. A stale read can only give None or a lower revision than
-        the newest, never one at or below the one asked about.
+        None if there are none, a delta if the head still lists all of them, else a
+        snapshot. A stale read may return None or miss the newest changes, but never
+        returns a revision at or below the given one.
     """
     match await read_head(client):
         case Err(error):
@@ -110,7 +113,7 @@
             pass
     if head.revision <= revision:
         return Ok(None)
-    changes = head.since(revision) if revision else None
+    changes = head.changes_since(revision) if revision else None
     if changes is None:
         return await _snapshot_at(client, head)
     return await _delta(client, revision, head.revision, changes)
@@ -128,9 +131,9 @@
 
 
 async def _delta(
-    client: StoreClient, base: int, revision: int, changes: Iterable[Accepted]
+    client: StoreClient, base: int, revision: int, changes: Iterable[AcceptedChange]
 ) -> Result[Delta, ReadError]:
-    """Read the newest version of each thing that changed."""
+    """Read the newest version of each profile and service that changed."""
     newest = {(accepted.kind, accepted.name): accepted for accepted in changes}
     wanted = [
         (kind, name, accepted.change)
@@ -161,7 +164,7 @@
 async def _read_all(
     client: StoreClient, wanted: list[tuple[Kind, str, str]]
 ) -> Result[list[Version], ReadError]:
-    """Read versions a few at a time, in order; the first failure ends it."""
+    """Read versions in order, a few in parallel; stop at the first error."""
     versions: list[Version] = []
     for start in range(0, len(wanted), PARALLEL_READS):
         part = wanted[start : start + PARALLEL_READS]
--- a/packages/cornelspan-control/src/cornelspan_control/control_plane.py
+++ b/packages/cornelspan-control/src/cornelspan_control/control_plane.py
@@ -1,4 +1,4 @@
-"""Configuration and membership of one daemon, run beside its data path.
+"""Runs the control plane of one daemon: configuration and membership.
 
 async with control_plane(settings, configuration, members, ...) as control:
     async with serve_peers(settings.listen, hello, streams, control.serve):
@@ -16,38 +16,38 @@
 from cornelspan_common.streams import Peer
 from cornelspan_common.tasks import task_group
 from cornelspan_control.configuration import Configuration
+from cornelspan_control.failure_detection import FailureDetector
 from cornelspan_control.members import Members
-from cornelspan_control.plane import Listener, Plane
+from cornelspan_control.plane import Callback, Plane
 from cornelspan_control.relay_links import RelayLinks
-from cornelspan_control.roster import Publisher, read_rosters
+from cornelspan_control.roster import RosterPublisher, read_rosters
 from cornelspan_control.store import StoreClient
-from cornelspan_control.subscribers import beat_to_subscribers, serve_subscriber
-from cornelspan_control.suspicion import Judge
-from cornelspan_control.watching import fall_back, watch_store
+from cornelspan_control.store_watch import poll_without_relays, watch_store
+from cornelspan_control.subscribers import send_heartbeats, serve_subscriber
 
 
 @dataclass(frozen=True, slots=True)
 class Control:
-    """The running parts of the control plane in one daemon."""
+    """The running control plane of one daemon."""
 
     plane: Plane
-    judge: Judge
-    relays: RelayLinks
-    publisher: Publisher
+    detector: FailureDetector
+    relay_links: RelayLinks
+    publisher: RosterPublisher
 
     async def serve(self, peer: Peer) -> None:
-        """Serve one process that has connected here."""
-        await serve_subscriber(self.plane, self.judge, peer)
+        """Serve one process that has connected to this daemon."""
+        await serve_subscriber(self.plane, self.detector, peer)
 
     def announce(self) -> None:
-        """Say anew what this daemon is, after its announcement has changed."""
+        """Send this daemon's announcement again, after it has changed."""
         self.plane.announce_self()
 
     def leave(self) -> None:
-        """Say that this daemon's life ends now, in order."""
+        """Announce the graceful shutdown of this daemon."""
         gone = Gone(self.plane.name, self.plane.incarnation)
-        self.plane.tell_relays(gone)
-        self.plane.tell_all(gone)
+        self.plane.send_to_relays(gone)
+        self.plane.broadcast(gone)
 
 
 @asynccontextmanager
@@ -58,25 +58,26 @@
     *,
     hello: Hello,
     announcement: Callable[[], Announce],
-    renew: Callable[[int], None],
-    on_members: Listener = lambda: None,
-    on_configuration: Listener = lambda: None,
+    on_new_incarnation: Callable[[int], None],
+    on_members: Callback = lambda: None,
+    on_configuration: Callback = lambda: None,
     tls: ssl.SSLContext | None = None,
     seed: int | None = None,
 ) -> AsyncIterator[Control]:
-    """Keep configuration and members current as long as the context lasts.
+    """Keep configuration and members up to date within the context.
 
     Args:
         settings: The daemon's settings.
-        configuration: What is in force; kept current here.
-        members: The members known; kept current here.
-        hello: What the daemon says of itself on its streams.
-        announcement: Returns what the daemon announces of itself now.
-        renew: Called with a new incarnation when others took this life for ended.
-        on_members: Called after members came or went.
-        on_configuration: Called after a newer configuration came in force.
-        tls: Client context for streams and store; None for plain ones.
-        seed: Seed of jitter, for tests.
+        configuration: The configuration in force; updated in place.
+        members: The known members; updated in place.
+        hello: First message of the daemon on each of its streams.
+        announcement: Returns the current announcement of the daemon.
+        on_new_incarnation: Called with a new incarnation number when others have
+            removed the current one while the daemon is alive.
+        on_members: Called after members were added, changed or removed.
+        on_configuration: Called after a newer configuration was put in force.
+        tls: Client context for streams and store; None for plain TCP.
+        seed: Seed of the jitter, for tests.
     """
     store = StoreClient(settings.store, tls=tls, seed=seed)
     async with task_group() as tasks:
@@ -88,35 +89,37 @@
             tasks,
             store,
             announcement,
-            renew,
+            on_new_incarnation,
             on_members,
             on_configuration,
             tls,
         )
         members.announce(announcement())
-        control = _assemble(plane)
+        control = _build(plane)
         _start(control)
         yield control
     store.close()
 
 
-def _assemble(plane: Plane) -> Control:
-    judge = Judge(plane)
-    relays = RelayLinks(plane, judge)
-    plane.tell_relays = relays.tell
-    return Control(plane, judge, relays, Publisher(plane))
+def _build(plane: Plane) -> Control:
+    detector = FailureDetector(plane)
+    relay_links = RelayLinks(plane, detector)
+    plane.send_to_relays = relay_links.send
+    return Control(plane, detector, relay_links, RosterPublisher(plane))
 
 
 def _start(control: Control) -> None:
-    """Start the tasks; only balancers have those of relays."""
+    """Start the tasks; only balancers can be relays and need all of them."""
     plane, tasks = control.plane, control.plane.tasks
-    relays = control.relays
-    tasks.start(relays.run(), name="follow relays")
-    tasks.start(relays.meet(), name="meet seeds")
-    tasks.start(fall_back(plane, lambda: relays.connected), name="fall back")
+    relay_links = control.relay_links
+    tasks.start(relay_links.run(), name="follow relays")
+    tasks.start(relay_links.contact_seeds(), name="contact seeds")
+    tasks.start(
+        poll_without_relays(plane, lambda: relay_links.connected), name="poll store"
+    )
     tasks.start(read_rosters(plane), name="read members")
     if plane.announcement().role == "balancer":
         tasks.start(watch_store(plane), name="watch store")
-        tasks.start(control.judge.run(), name="judge")
+        tasks.start(control.detector.run(), name="judge")
         tasks.start(control.publisher.run(), name="publish members")
-        tasks.start(beat_to_subscribers(plane), name="beat to subscribers")
+        tasks.start(send_heartbeats(plane), name="send heartbeats")
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
@@ -61,7 +61,7 @@
         """Whether an incarnation has ended; with 0, whether any of that name has."""
         if name == self.agent_id.name:
             return incarnation < self.agent_id.incarnation
-        if self.members.gone.get(name, -1) >= incarnation:
+        if self.members.tombstones.get(name, -1) >= incarnation:
             return True
         agent = self.find_agent(name)
         return agent is not None and 0 < incarnation < agent.incarnation
--- a/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 on one flow: requests come in whole, answers go out as they come.
+"""HTTP/1.1 on one flow: buffers whole requests and streams the answers.
 
-A connection is tornado's ``HTTP1Connection`` in a loop, one message at a time, so that
-a keep-alive flow is read no faster than it is answered.
+Each request is read with a new ``HTTP1Connection`` of tornado, after the one before it
+was answered. So a keep-alive flow is read no faster than it is answered.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from cornelspan_common.logs import get_log
-from cornelspan_requests.outcomes import AnswerHead, Refusal, refusal_head
+from cornelspan_requests.outcomes import AnswerHead, Failure, failure_head
 
-HEADER_BYTES = 65536
-HOP_HEADERS = frozenset(
+MAX_HEADER_BYTES = 65536
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request of a caller, whole.
+    """One complete request of a caller.
 
     ``arrived`` and ``deadline`` are seconds of the event loop's clock. ``key`` is the
     idempotency key, "" for none.
@@ -62,17 +62,17 @@
 
 @dataclass
 class Answer:
-    """The way back to a caller, for one request.
+    """Sends the answer to one request back to its caller.
 
-    ``begun`` tells whether bytes of an answer have left; from then on the caller gets
-    this answer whole, or a cut connection, never a second answer. With ``last`` the
-    caller is told that the flow ends after this answer.
+    ``begun`` is set when the first bytes of an answer are sent. From then on the caller
+    gets either the whole answer or a closed connection, never a second answer. With
+    ``close_after`` the answer carries ``Connection: close`` and the flow ends after it.
     """
 
     connection: HTTP1Connection
     head_only: bool
     begun: bool = False
-    last: bool = False
+    close_after: bool = False
 
     async def start(self, head: AnswerHead) -> bool:
         """Send status and headers.
@@ -84,77 +84,81 @@
         headers = HTTPHeaders()
         for name, value in head.headers:
             headers.add(name, value)
-        if self.last:
+        if self.close_after:
             headers["Connection"] = "close"
         line = ResponseStartLine("HTTP/1.1", head.status, head.reason)
-        return await _written(self.connection.write_headers(line, headers))
+        return await _was_sent(self.connection.write_headers(line, headers))
 
     async def write(self, chunk: bytes) -> bool:
-        """Send a part of the body, and wait until the caller takes more.
+        """Send a part of the body, and wait until more can be sent.
 
         Returns:
             False if the caller is gone.
         """
         if not chunk or self.head_only:
             return True
-        return await _written(self.connection.write(chunk))
+        return await _was_sent(self.connection.write(chunk))
 
     def finish(self) -> None:
-        """End an answer that is whole."""
+        """End an answer whose body has been sent in full."""
         try:
             self.connection.finish()
         except HTTPOutputError as error:
-            self.cut(str(error))
+            self.abort(str(error))
 
-    def cut(self, reason: str) -> None:
-        """Close the connection, so that what was sent can't be taken for the whole.
+    def abort(self, reason: str) -> None:
+        """Close the connection, so that an incomplete answer can't seem complete.
 
-        A caller that is still there gets half an answer, which is worth a line; one
-        that has hung up is not.
+        This is logged if the caller is still connected and so gets a partial answer.
         """
         if self.begun and not self.connection.stream.closed():
-            log.warning("answer cut", extra={"reason": reason})
+            log.warning("answer aborted", extra={"reason": reason})
         self.connection.close()
 
-    async def refuse(self, refusal: Refusal) -> None:
-        """Answer in the agent's own name, or cut an answer that has begun."""
+    async def send_failure(self, failure: Failure) -> None:
+        """Send the agent's own answer, or abort an answer that has begun."""
         if self.begun:
-            self.cut(f"{refusal.outcome.value}: {refusal.reason.value}")
+            self.abort(f"{failure.outcome.value}: {failure.reason.value}")
             return
-        text = f"{refusal.outcome}: {refusal.reason}\n".encode()
-        await self.start(refusal_head(refusal, length=len(text)))
+        text = f"{failure.outcome}: {failure.reason}\n".encode()
+        await self.start(failure_head(failure, length=len(text)))
         await self.write(text)
         self.finish()
 
 
-async def _written(written: Awaitable[None]) -> bool:
+async def _was_sent(sending: Awaitable[None]) -> bool:
+    """Wait until data is sent; False if the connection is closed."""
     try:
-        await written
+        await sending
     except StreamClosedError:
         return False
     return True
 
 
-Respond = Callable[["Incoming", Answer], Awaitable[None]]
+Respond = Callable[["IncomingRequest", Answer], Awaitable[None]]
 
 
 @dataclass
-class Incoming(HTTPMessageDelegate):
-    """Collects one request; ``whole`` resolves when it is there, or never will be."""
+class IncomingRequest(HTTPMessageDelegate):
+    """Collects one request from a flow.
+
+    ``complete`` resolves to True once all of it has been read, to False if the
+    connection closes before.
+    """
 
     body_limit: int
     line: RequestStartLine | None = None
     headers: HTTPHeaders = field(default_factory=HTTPHeaders)
     body: bytearray = field(default_factory=bytearray)
     too_large: bool = False
-    whole: asyncio.Future[bool] = field(
+    complete: asyncio.Future[bool] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
 
     def headers_received(
         self, start_line: RequestStartLine, headers: HTTPHeaders
     ) -> None:
-        """Keep the head; a body announced as too large is not kept."""
+        """Keep the head, and note whether the announced body is too large."""
         self.line = start_line
         self.headers = headers
         length = headers.get("Content-Length", "0")
@@ -169,48 +173,49 @@
         self.body += chunk
 
     def finish(self) -> None:
-        """Note that the request is whole."""
-        self._settle(True)
+        """Note that the request is complete."""
+        self._resolve(True)
 
     def on_connection_close(self) -> None:
-        """Note that the rest will not come."""
-        self._settle(False)
+        """Note that the request will not be completed."""
+        self._resolve(False)
 
-    def _settle(self, whole: bool) -> None:
-        if not self.whole.done():
-            self.whole.set_result(whole)
+    def _resolve(self, complete: bool) -> None:
+        if not self.complete.done():
+            self.complete.set_result(complete)
 
 
 async def serve_requests(
     stream: IOStream, respond: Respond, *, body_limit: int, idle_seconds: float
 ) -> None:
-    """Read requests from a flow and have each answered, until the flow ends.
+    """Read requests from a flow and answer each, until the flow ends.
 
-    The caller's hanging up cancels the answer that is under way.
+    If the caller disconnects, the request that is being answered is cancelled.
 
     Args:
         stream: The flow.
         respond: Answers one request.
-        body_limit: Bytes of a request's body that are kept.
-        idle_seconds: How long the flow may wait between two requests.
+        body_limit: Largest size of a request's body, in bytes.
+        idle_seconds: How long to wait for the next request or for its body.
     """
     parameters = HTTP1ConnectionParameters(
-        max_header_size=HEADER_BYTES,
+        max_header_size=MAX_HEADER_BYTES,
         header_timeout=idle_seconds,
         body_timeout=idle_seconds,
-        # Reading a body somewhat over the limit lets the caller hear 413, not a cut.
+        # A body up to twice the limit is read to its end, so that the caller gets a 413
+        # answer and not a closed connection.
         max_body_size=2 * body_limit,
     )
     while not stream.closed():
         connection = HTTP1Connection(stream, False, parameters)
-        incoming = Incoming(body_limit)
+        incoming = IncomingRequest(body_limit)
         reading = asyncio.ensure_future(connection.read_response(incoming))
         try:
-            if not await _begun(incoming, reading):
+            if not await _wait_for_request(incoming, reading):
                 break
             answer = Answer(connection, head_only=incoming.line.method == "HEAD")
-            await _answer(answer, incoming, respond)
-            if not await reading or answer.last:
+            await _answer_request(answer, incoming, respond)
+            if not await reading or answer.close_after:
                 break
         except StreamClosedError:
             break
@@ -219,43 +224,50 @@
     stream.close()
 
 
-async def _begun(incoming: Incoming, reading: asyncio.Future) -> bool:
-    """Wait for a whole request; False if the flow ends before."""
-    await asyncio.wait({incoming.whole, reading}, return_when=asyncio.FIRST_COMPLETED)
-    if incoming.whole.done():
-        return incoming.whole.result()
+async def _wait_for_request(incoming: IncomingRequest, reading: asyncio.Future) -> bool:
+    """Wait for a complete request; False if the flow ends before."""
+    await asyncio.wait(
+        {incoming.complete, reading}, return_when=asyncio.FIRST_COMPLETED
+    )
+    if incoming.complete.done():
+        return incoming.complete.result()
     reading.exception()
     return False
 
 
-async def _answer(answer: Answer, incoming: Incoming, respond: Respond) -> None:
+async def _answer_request(
+    answer: Answer, incoming: IncomingRequest, respond: Respond
+) -> None:
+    """Answer a request; cancel it if the caller disconnects."""
     connection = answer.connection
-    work = asyncio.ensure_future(respond(incoming, answer))
-    connection.set_close_callback(work.cancel)
+    task = asyncio.ensure_future(respond(incoming, answer))
+    connection.set_close_callback(task.cancel)
     if connection.stream.closed():
-        # Closed before the callback stood, so it will never be called.
-        work.cancel()
+        # It closed before the callback was set, so the callback is never called.
+        task.cancel()
     try:
-        await work
+        await task
     except asyncio.CancelledError:
-        answer.cut("cancelled")
+        answer.abort("cancelled")
         if not connection.stream.closed() or asyncio.current_task().cancelling():
-            work.cancel()
+            task.cancel()
             raise
     except Exception as error:
-        answer.cut(repr(error))
+        answer.abort(repr(error))
         raise
 
 
-def end_to_end(headers: HTTPHeaders) -> tuple[tuple[str, str], ...]:
-    """Return the headers that concern the ends, not one connection (RFC 9110, 7.6.1).
+def end_to_end_headers(headers: HTTPHeaders) -> tuple[tuple[str, str], ...]:
+    """Return the headers without hop-by-hop ones (RFC 9110, 7.6.1).
 
-    ``Connection`` may name more of the latter.
+    Headers that are named by ``Connection`` are hop-by-hop too.
     """
-    named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
-    left_out = HOP_HEADERS | named
+    connection_headers = {
+        name.strip().lower() for name in headers.get("Connection", "").split(",")
+    }
+    excluded = HOP_BY_HOP_HEADERS | connection_headers
     return tuple(
         (name, value)
         for name, value in headers.get_all()
-        if name.lower() not in left_out
+        if name.lower() not in excluded
     )
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_ideal.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_ideal.py
@@ -13,7 +13,13 @@
 from collections.abc import Iterable, Mapping
 
 from cornelspan_passthrough.balancer import Balancer
-from cornelspan_passthrough.heads import PORT_BITS, PORT_MASK, ROUTE_BITS, RST, SYN
+from cornelspan_passthrough.packet_headers import (
+    PORT_BITS,
+    PORT_MASK,
+    ROUTE_BITS,
+    RST,
+    SYN,
+)
 from cornelspan_passthrough.placing import Candidate
 from cornelspan_shirakaba.packets import CODEC
 from cornelspan_standins.packet_world import PACKETS_PORT, PacketWorld
@@ -111,7 +117,7 @@
     def _wait(self, address: str) -> float:
         """Return how many rounds of its slots a new request would take there."""
         endpoint = self.world.endpoints[address]
-        waiting = len(self.world.agents[address].waiting)
+        waiting = len(self.world.agents[address].request_queue)
         now = self.world.now
         coming = [
             at for at in self.placed.get(address, []) if now - at < COMING_SECONDS
--- a/tests/control_fleet.py
+++ b/tests/control_fleet.py
@@ -1,4 +1,4 @@
-"""Daemons with nothing but a control plane, for the tests of it."""
+"""Daemons that run only a control plane, for its tests."""
 
 import contextlib
 import itertools
@@ -23,7 +23,7 @@
 from cornelspan_control.control_plane import Control, control_plane
 from cornelspan_control.members import Members
 
-QUICK = ControlSettings(
+SHORT_TIMES = ControlSettings(
     heartbeat_seconds=0.1,
     relay_heartbeats=2,
     lost_seconds=0.1,
@@ -32,12 +32,12 @@
     publish_seconds=0.1,
 )
 STREAMS = StreamSettings(connect_seconds=0.4, reconnect_seconds=0.05)
-lives = itertools.count(time.time_ns() // 1_000_000)
+incarnations = itertools.count(time.time_ns() // 1_000_000)
 
 
 @dataclass
 class Node:
-    """One daemon: what it has in force and whom it knows."""
+    """One daemon with its configuration and members."""
 
     settings: DaemonSettings
     role: str
@@ -64,7 +64,7 @@
             self.leaving,
         )
 
-    def renew(self, incarnation: int) -> None:
+    def set_incarnation(self, incarnation: int) -> None:
         self.hello = msgspec.structs.replace(self.hello, incarnation=incarnation)
         self.server.hello = self.hello
 
@@ -81,10 +81,10 @@
     *,
     datacentre: str = "chuo-hall",
     service: str = "",
-    control: ControlSettings = QUICK,
+    control: ControlSettings = SHORT_TIMES,
     calls_per_second: float = 1000.0,
 ) -> AsyncIterator[Node]:
-    """Run a balancer, or the agent of a service, as long as the context lasts."""
+    """Run a balancer, or the agent of a service, within the context."""
     host = store.host
     settings = DaemonSettings(
         name=name,
@@ -99,7 +99,7 @@
         control=control,
     )
     role = "agent" if service else "balancer"
-    hello = Hello(PROTOCOL, role, name, datacentre, next(lives))
+    hello = Hello(PROTOCOL, role, name, datacentre, next(incarnations))
     node = Node(settings, role, service, hello)
     async with contextlib.AsyncExitStack() as stack:
         node.server = await stack.enter_async_context(
@@ -112,7 +112,7 @@
                 node.members,
                 hello=hello,
                 announcement=node.announcement,
-                renew=node.renew,
+                on_new_incarnation=node.set_incarnation,
                 seed=port,
             )
         )
@@ -120,7 +120,7 @@
 
 
 class Fleet:
-    """Nodes by name, each with the context that ends it."""
+    """Nodes by name, each with the context that stops it."""
 
     def __init__(self, store: Address, base_port: int, seeds: int = 2) -> None:
         self.store = store
@@ -140,15 +140,15 @@
         return node
 
     async def kill(self, name: str) -> None:
-        """End a daemon without a word, as a crash does."""
+        """Stop a daemon without announcing it, as a crash does."""
         del self.nodes[name]
         await self.contexts.pop(name).aclose()
 
     async def stop(self) -> None:
-        """End all of them."""
+        """Stop all daemons."""
         for name in list(self.nodes):
             await self.kill(name)
 
     def revisions(self) -> set[int]:
-        """Return the revisions in force."""
+        """Return the distinct revisions in force."""
         return {node.configuration.revision for node in self.nodes.values()}
