--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -225,7 +225,9 @@
         metrics.count(
             "packets_foreign", "Of another service", lambda: routing.wrong_service
         )
-        metrics.count("packets_unknown", "Of unknown flows", lambda: routing.unknown)
+        metrics.count(
+            "packets_unknown", "Of unknown flows", lambda: routing.unknown_flow
+        )
 
     async def serve_flow(self, channel: Channel) -> None:
         """Serve one flow as the kind of its service's profile requires."""
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
@@ -116,7 +116,7 @@
             links.hello = self.hello
 
     def connect_agents(self) -> None:
-        """Keep a stream to each known agent, and close the others."""
+        """Keep a stream to each known agent; drop others and their learned flows."""
         agents = [m for m in self.members.known.values() if m.role == "agent"]
         for agent in agents:
             self.agents.want(agent.name, Address(host=agent.host, port=agent.port))
@@ -142,10 +142,13 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether a configuration is in force and all known agents are connected."""
-        known = len(self.agents.wanted)
-        connected = known > 0 and len(self.agents.open) == known
-        return connected and self.configuration.revision > 0
+        """Whether a configuration is in force and all known agents are connected.
+
+        False while no agent is known.
+        """
+        wanted_count = len(self.agents.wanted)
+        all_connected = wanted_count > 0 and len(self.agents.open) == wanted_count
+        return all_connected and self.configuration.revision > 0
 
     async def leave(self) -> None:
         """Tell the fabrics to use other balancers, and forward what still arrives."""
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/forwarding.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/forwarding.py
@@ -1,6 +1,6 @@
 """Forwards packets from the fabrics to agents.
 
-No flow depends on the state of one balancer. The ranking of a service's endpoints
+No flow depends on the state of one balancer. The ranking of a service's agents
 depends on the flow and the membership alone, so every balancer ranks the same home
 first. A learned owner only saves a hop.
 """
@@ -31,7 +31,11 @@
 
 @dataclass
 class ForwardingCounts:
-    """Counts of packets by outcome, and of learned owners."""
+    """Counts of packets by outcome, and of learned owners.
+
+    ``no_endpoint`` counts packets of a service without known agents, ``no_stream``
+    those of a service whose agents are all disconnected.
+    """
 
     forwarded: int = 0
     no_service: int = 0
@@ -67,7 +71,7 @@
         self.counts = ForwardingCounts()
 
     def forward(self, packet: Packet) -> None:
-        """Forward a packet, or count and drop it if there is no agent for it."""
+        """Forward a packet; count and drop it if it has no service or no agent."""
         if self.routes_version != self._current_version():
             self._clear_routes()
         route = self.routes.get(packet.flow)
@@ -97,7 +101,12 @@
         self.routes.clear()
 
     def _find_route(self, packet: Packet) -> Route | None:
-        """Find and cache a flow's route; None if there is no agent for it."""
+        """Find and cache a flow's route.
+
+        Returns:
+            The route; None, with the packet counted as dropped, if no service has its
+            address or no agent of the service is connected.
+        """
         service = self.configuration.by_address.get(packet.address)
         if service is None:
             self.counts.no_service += 1
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
@@ -63,20 +63,20 @@
         collector.record(counts)
         return Sealed(collector.sealed_minute(counts.agent, counts.incarnation))
 
-    def check(self, now: int) -> list[AlertChange]:
-        """Compute the burn rates of all services again.
+    def update_alerts(self, now: int) -> list[AlertChange]:
+        """Recompute the burn rates of services with counts, and which alerts fire.
 
         Args:
             now: The current time, in minutes since the epoch.
 
         Returns:
-            The alerts that have started or stopped firing since the last check.
+            The alerts that have started or stopped firing since the last call.
         """
         series: dict[str, Series] = {}
         for collector in self.collectors.values():
             for service, counts in collector.series().items():
-                known = series.get(service, Series())
-                series[service] = merge_series(known, counts)
+                sum_so_far = series.get(service, Series())
+                series[service] = merge_series(sum_so_far, counts)
         self.burns = {
             service: burn_of(service, counts, self._objective(service), now=now)
             for service, counts in series.items()
@@ -114,7 +114,7 @@
                 # is not sealed yet.
                 self.collectors.clear()
                 continue
-            changes = self.check(int(time.time()) // MINUTE_SECONDS)
+            changes = self.update_alerts(int(time.time()) // MINUTE_SECONDS)
             if plane.primary_datacentres():
                 # Both relays of a data centre find the same; only the primary logs it.
                 log_changes(changes, self.burns)
@@ -122,7 +122,10 @@
                 await self._seal(collector, plane.store)
 
     async def _seal(self, collector: Collector, client: StoreClient) -> None:
-        """Store complete minutes if due; while the store is down, keep the counts."""
+        """Write a data centre's complete minutes to the store if due.
+
+        If that fails, the counts are kept for the next attempt, and alerts still work.
+        """
         now = time.monotonic()
         sealed_at = self.sealed_at.get(collector.datacentre, 0.0)
         if now - sealed_at < collector.seal_seconds:
@@ -132,7 +135,7 @@
             case Ok(_):
                 return
             case Err(error):
-                log.info("service levels not stored", extra={"why": str(error)})
+                log.info("request counts not stored", extra={"why": str(error)})
 
     def _objective(self, service: str) -> Objective:
         profile = self.configuration.profile_of(service)
@@ -144,7 +147,7 @@
     for change in changes:
         burn = burns.get(change.service)
         log.warning(
-            "burn alert" if change.firing else "burn alert over",
+            "burn alert" if change.firing else "burn alert ended",
             extra={
                 "service": change.service,
                 "alert": change.alert,
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/directory.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/directory.py
@@ -25,20 +25,20 @@
 class FlowAgents(Expiring[AgentId]):
     """Map flows to agents; entries expire when they are not used."""
 
-    def drop_agent(self, name: str, before: int) -> list[int]:
-        """Remove the flows of an agent, up to and including an incarnation.
+    def drop_agent(self, name: str, last_incarnation: int) -> list[int]:
+        """Remove the entries of an agent's incarnations up to the given one.
 
         Args:
             name: The agent's name.
-            before: The last incarnation whose flows are removed.
+            last_incarnation: The newest incarnation whose entries are removed.
 
         Returns:
-            The flows that were removed.
+            The flows whose entries were removed.
         """
         flows = [
             flow
             for flow, entry in self.entries.items()
-            if entry.value.name == name and entry.value.incarnation <= before
+            if entry.value.name == name and entry.value.incarnation <= last_incarnation
         ]
         for flow in flows:
             del self.entries[flow]
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/flows.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/flows.py
@@ -30,15 +30,16 @@
 class Flows:
     """Channels of the owned flows, and of flows that ended recently.
 
-    ``serve`` connects one flow to the backend server and returns when the flow is
-    over. ``on_opened`` is called with the channel of each new flow, ``on_removed`` with
-    the id of an ended flow when its channel is removed.
+    ``agent_name`` is sent to the fabric when a flow is accepted; ``transmit`` sends a
+    packet to its fabric. ``serve`` connects one flow to the backend server and returns
+    when the flow is over. ``on_opened`` is called with the channel of each new flow,
+    ``on_removed`` with the id of an ended flow when its channel is removed.
     """
 
     def __init__(
-        self, name: str, tasks: Tasks, transmit: Transmit, serve: Serve
+        self, agent_name: str, tasks: Tasks, transmit: Transmit, serve: Serve
     ) -> None:
-        self.name = name
+        self.agent_name = agent_name
         self.tasks = tasks
         self.transmit = transmit
         self.serve = serve
@@ -65,7 +66,7 @@
         self.owned[packet.flow] = channel
         self.counts.opened += 1
         self.on_opened(channel)
-        channel.accept(self.name)
+        channel.accept(self.agent_name)
         self.tasks.start(self._run(channel), name=f"flow {packet.flow:016x}")
 
     async def _run(self, channel: Channel) -> None:
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/handlers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/handlers.py
@@ -17,8 +17,8 @@
 
 
 def answer_claim(state: Ownership, claim: Claim) -> ClaimAnswer | None:
-    """Answer a claim; None if its sender is no live peer."""
-    if not _is_peer(state, claim):
+    """Answer a claim; None if its sender is no peer or is gone."""
+    if not _is_from_peer(state, claim):
         return None
     owner, home = _answer_or_record_claim(state, claim)
     return ClaimAnswer(
@@ -32,8 +32,11 @@
 
 
 def answer_handoff(state: Ownership, handoff: Handoff) -> HandoffAnswer | None:
-    """Accept or reject a hand-off; None if its sender is no live peer."""
-    if not _is_peer(state, handoff):
+    """Accept or reject a hand-off; None if its sender is no peer or is gone.
+
+    Rejected if another home takes precedence or this agent is too busy.
+    """
+    if not _is_from_peer(state, handoff):
         return None
     state.loads.update(handoff.load)
     flow = handoff.packet.flow
@@ -51,23 +54,28 @@
 
 
 def record_owner(state: Ownership, message: Owner) -> None:
-    """Record a flow's owner, or its end if the message names no owner."""
+    """Record a flow's owner, or its end if the message names no owner.
+
+    An owner that is gone is ignored, and so is any other owner of a flow owned here.
+    """
     owner = AgentId(message.owner, message.incarnation)
     if not message.owner:
         state.directory.end_flow(message.flow, owner, state.clock())
         return
     if state.group.is_gone(message.owner, message.incarnation):
         return
+    # An owner that was removed by mistake registers its flows again, under a new
+    # incarnation, after they were recorded as ended.
     state.directory.ended.drop(message.flow)
     if not state.local.owns(message.flow):
         state.directory.owners.put(message.flow, owner, state.clock())
 
 
-def remove_peer(state: Ownership, name: str, incarnation: int) -> None:
-    """Remove a peer that is gone, and record the flows that it owned as ended.
+def remove_incarnation(state: Ownership, name: str, incarnation: int) -> None:
+    """Remove an incarnation of a peer, and record the flows that it owned as ended.
 
     A late retry of such a flow's OPEN is then rejected. If the flow were placed again,
-    the new owner could run a request that the old one has already run.
+    the new owner could execute a request that the old one has executed.
     """
     state.loads.remove(name)
     now = state.clock()
@@ -75,11 +83,12 @@
         state.directory.ended.put(flow, AgentId(name, incarnation), now)
 
 
-def _is_peer(state: Ownership, message: Claim | Handoff) -> bool:
-    """Whether a message was sent by a live agent of the same service.
+def _is_from_peer(state: Ownership, message: Claim | Handoff) -> bool:
+    """Whether a message is from an agent of this service that isn't known to be gone.
 
-    The last messages of a dead home may arrive after another home has placed the flow
-    and after the claim recorded for it has expired.
+    A late message of a dead home is not answered, because the next home may have placed
+    the flow already. Once the next home's claim, which is recorded here, has expired,
+    accepting a late hand-off would create a second owner.
     """
     same = message.service == state.service
     return same and not state.group.is_gone(message.home, message.incarnation)
@@ -88,7 +97,7 @@
 def _answer_or_record_claim(
     state: Ownership, claim: Claim
 ) -> tuple[AgentId | None, AgentId | None]:
-    """Return the known owner or home of a flow; if there is none, record the claim."""
+    """Return the known owner and home of a flow; if there is none, record the claim."""
     flow, now = claim.flow, state.clock()
     if state.local.owns(flow):
         return state.agent_id, None
@@ -96,7 +105,7 @@
     if owner is not None:
         return owner, None
     sender = AgentId(claim.home, claim.incarnation)
-    if _keeps_claim(state, flow, sender):
+    if _refuses_claim(state, flow, sender):
         return None, state.agent_id
     recorded = state.directory.homes.get(flow, now)
     if recorded is not None and recorded.name != sender.name:
@@ -105,10 +114,13 @@
     return None, None
 
 
-def _keeps_claim(state: Ownership, flow: int, sender: AgentId) -> bool:
-    """Whether this agent remains the home of a flow that the sender claims.
+def _refuses_claim(state: Ownership, flow: int, sender: AgentId) -> bool:
+    """Whether this agent answers a claim by naming itself as home.
 
-    If not, this agent's own claim of the flow fails.
+    It does so while it places the flow, while it handles an OPEN of the flow and takes
+    precedence over the sender, and after the flow's end, so that the sender forwards
+    the OPEN here. If not, the caller records the sender as home; an OPEN of the flow
+    that is handled here then ends by forwarding it to the sender.
     """
     now = state.clock()
     if state.unanswered_handoffs.get(flow, now) or state.directory.ended.get(flow, now):
@@ -124,7 +136,10 @@
 def _conflicting_home(
     state: Ownership, flow: int, sender: AgentId, yielded: str
 ) -> AgentId | None:
-    """Return the home whose claim takes precedence over a hand-off, None if none does.
+    """Return the home that takes precedence over a hand-off, None if there is none.
+
+    This is this agent itself if it places the flow, or knows its owner or its end;
+    otherwise the recorded home, unless that is the sender or has yielded to it.
 
     Guards against a late hand-off: its home died just after sending it, and the next
     home claimed the flow here before it arrived and placed the flow elsewhere.
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/interfaces.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/interfaces.py
@@ -36,7 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryLater:
-    """No decision is possible now; the fabric sends the OPEN again."""
+    """An OPEN gets no answer now, so the fabric sends it again.
+
+    Any other packet is answered with a reset and the reason, since only a flow that has
+    ended has this result for it.
+    """
 
     reason: str
 
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/local_flows.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/local_flows.py
@@ -12,14 +12,14 @@
 class RoutingCounts:
     """Counts of packets by outcome.
 
-    ``wrong_service`` counts packets of another service; ``unreachable`` those whose
-    next agent has no open stream.
+    ``wrong_service`` counts packets of another service; ``unreachable`` those
+    that had no open stream to the next agent.
     """
 
     delivered: int = 0
     forwarded: int = 0
     wrong_service: int = 0
-    unknown: int = 0
+    unknown_flow: int = 0
     unreachable: int = 0
 
 
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
@@ -47,7 +47,7 @@
     rank_targets,
 )
 
-MAX_OPEN_HOPS = 6
+MAX_HOPS_TO_HOME = 6
 MAX_PLACEMENT_STEPS = 16
 MAX_UNKNOWN_AGENTS = 1000
 UNKNOWN_AGENT_SECONDS = 1.0
@@ -60,7 +60,7 @@
     """An OPEN that is being handled here.
 
     ``placing`` is set once no claim is needed or all claims were granted; ``target`` is
-    the peer that the flow is being handed off to, or "".
+    the peer that the flow is being handed off to, "" before one is chosen.
     """
 
     placing: bool = False
@@ -133,7 +133,7 @@
             candidates: The candidates as ranked by the balancer that sent the packet.
             hops: How many agents have forwarded the packet.
         """
-        if hops >= MAX_OPEN_HOPS:
+        if hops >= MAX_HOPS_TO_HOME:
             candidates = self._break_loop(packet.flow, candidates)
         known = self.locate(packet.flow)
         if known is not None:
@@ -197,24 +197,26 @@
     async def _claim(self, flow: int, names: list[str]) -> OpenResult | None:
         """Claim a flow from agents and from the homes that they name.
 
-        A home named in an answer is asked as well, since only that agent knows whether
-        it still acts as home; the claim that the others recorded may be withdrawn.
+        A home named in an answer is asked as well: it may have yielded since, which
+        only it knows. Names that have been unknown for ``UNKNOWN_AGENT_SECONDS`` are
+        skipped.
 
         Returns:
-            None if no agent objects, else the result that ends the OPEN.
+            None if all have recorded the claim. Otherwise the result of the OPEN: an
+            owner or another home was named, or an agent is unknown or didn't answer.
         """
         if unknown_names := self._recently_unknown(names):
             return RetryLater(f"{unknown_names[0]} is not known here yet")
         asked: set[str] = set()
         to_ask = [name for name in names if self.group.find_agent(name)]
         while to_ask:
-            answers = await self.call_peers(to_ask, self._claim_message(flow))
+            answers = await self.call_peers(to_ask, self._new_claim(flow))
             asked.update(to_ask)
             match self._evaluate_answers(flow, to_ask, answers):
                 case Ok(named_homes):
                     to_ask = [n for n in dict.fromkeys(named_homes) if n not in asked]
-                case Err(opened):
-                    return opened
+                case Err(result):
+                    return result
         return None
 
     def _recently_unknown(self, names: list[str]) -> list[str]:
@@ -241,14 +243,14 @@
         """Evaluate the answers to a claim.
 
         Returns:
-            Other homes that have to be asked, or the result that ends the claim.
+            Other homes that have to be asked, or else the result of the OPEN.
         """
         named_homes: list[str] = []
         unanswered: OpenResult | None = None
         for name, answer in zip(asked, answers, strict=True):
             match answer:
                 case Ok(ClaimAnswer(owner=owner) as found) if owner:
-                    return Err(self._record_owner(flow, found))
+                    return Err(self._owner_from_answer(flow, found))
                 case Ok(ClaimAnswer(home=home) as found) if home == name:
                     return Err(self._yield_to_home(flow, found))
                 case Ok(ClaimAnswer(home=home, home_incarnation=incarnation)) if home:
@@ -261,7 +263,7 @@
                     unanswered = RetryLater(f"no answer from {name}")
         return Err(unanswered) if unanswered is not None else Ok(named_homes)
 
-    def _record_owner(self, flow: int, answer: ClaimAnswer) -> OpenResult:
+    def _owner_from_answer(self, flow: int, answer: ClaimAnswer) -> OpenResult:
         """Record the owner that an answer names; reject the flow if it is gone."""
         if self.group.is_gone(answer.owner, answer.owner_incarnation):
             return OWNER_LOST
@@ -285,7 +287,10 @@
         return [name for name in names if not self._has_ended(name, 0)]
 
     def _has_ended(self, name: str, incarnation: int) -> bool:
-        """Whether an incarnation has ended; with 0, whether the agent is gone."""
+        """Whether an incarnation has ended; 0 stands for the newest known one.
+
+        Unlike ``group.is_gone``, this is false with 0 for an agent that has come back.
+        """
         agent = self.group.find_agent(name)
         if agent is not None:
             return incarnation != 0 and agent.incarnation > incarnation
@@ -362,7 +367,7 @@
         agent = self.group.find_agent(target) or AgentId(target, 0)
         self.unanswered_handoffs.put(flow, agent, self.clock())
         self.loads.add_unanswered(target)
-        message = self._handoff_message(packet, limit, yielded)
+        message = self._new_handoff(packet, limit, yielded)
         [answer] = await self.call_peers([target], message)
         self.loads.remove_unanswered(target)
         match answer:
@@ -386,21 +391,21 @@
         """Claim the flow from the home that a peer named when it rejected a hand-off.
 
         Returns:
-            None if that home yields or is gone, else the result that ends the OPEN.
+            None if that home yields or is gone, else the result of the OPEN.
         """
         home = answer.home
         if self._has_ended(home, answer.home_incarnation):
             return None
         return await self._claim(flow, [home])
 
-    def _claim_message(self, flow: int) -> Claim:
+    def _new_claim(self, flow: int) -> Claim:
         self.last_call_id += 1
         agent_id = self.agent_id
         return Claim(
             self.service, flow, agent_id.name, agent_id.incarnation, self.last_call_id
         )
 
-    def _handoff_message(self, packet: Packet, limit: int, yielded: str) -> Handoff:
+    def _new_handoff(self, packet: Packet, limit: int, yielded: str) -> Handoff:
         self.last_call_id += 1
         agent_id = self.agent_id
         load = load_message(
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
@@ -58,7 +58,11 @@
         return AgentId(name, incarnation) if incarnation else None
 
     def is_gone(self, name: str, incarnation: int) -> bool:
-        """Whether an incarnation has ended; with 0, whether any of that name has."""
+        """Whether an incarnation of an agent has ended.
+
+        With 0, whether any incarnation of that name has ended, even if a newer one is
+        alive; always true for this agent's own name.
+        """
         if name == self.agent_id.name:
             return incarnation < self.agent_id.incarnation
         if self.members.tombstones.get(name, -1) >= incarnation:
@@ -80,7 +84,10 @@
         return first > score(flow, name_seed(other), 1.0)
 
     def add_peer(self, name: str, incarnation: int) -> None:
-        """Record the sender of a message, which may not have been announced yet."""
+        """Record the sender of a message, which may not have been announced yet.
+
+        An incarnation that has ended is ignored.
+        """
         agent = self.find_agent(name)
         if self.is_gone(name, incarnation) or name == self.agent_id.name:
             return
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/placement.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/placement.py
@@ -68,10 +68,11 @@
         peer.load = load
 
     def add_unanswered(self, name: str) -> None:
-        """Count a hand-off that was sent to a peer.
+        """Count a hand-off that is about to be sent to a peer.
 
-        The peer's load is updated only by its answer. Without this count, OPENs that
-        arrive together would all choose the same least loaded peer.
+        The stored load doesn't include this flow until the peer reports it. Without
+        this count, OPENs that arrive together would all choose the same least loaded
+        peer. Does nothing for a peer without a stored load.
         """
         if name in self.peers:
             self.peers[name].unanswered += 1
@@ -100,6 +101,8 @@
 def rank_targets(own: OwnLoad | None, loads: LoadTable, peers: list[str]) -> list[str]:
     """Return the agents to place a flow on, best first; "" is this agent.
 
+    This agent comes first if it has a free slot and isn't slow, then by ``cost``.
+
     Args:
         own: This agent's load; None if it must not take the flow.
         loads: The peers' loads.
@@ -146,7 +149,8 @@
         attempts_left: Attempts left, including this one.
 
     Returns:
-        The number of running and waiting requests, or ``NO_LIMIT``.
+        The number of running and waiting requests and unanswered hand-offs that the
+        home knows of, or ``NO_LIMIT``.
     """
     if attempts_left <= 1:
         return NO_LIMIT
@@ -155,7 +159,7 @@
 
 
 def accepts_handoff(own: OwnLoad, limit: int) -> bool:
-    """Whether an agent accepts a hand-off sent with a limit of ``busy_limit``."""
+    """Whether an agent has a free slot, or is no busier than a ``busy_limit``."""
     if own.slots == 0:
         return False
     busy = own.running + own.waiting
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
@@ -26,13 +26,13 @@
 from cornelspan_ownership.interfaces import ForwardTo, OwnedBy, Rejected, RetryLater
 from cornelspan_ownership.load_reporting import FlowsWithoutData, LoadReporter
 from cornelspan_ownership.local_flows import LocalFlows, RoutingCounts
-from cornelspan_ownership.ownership import MAX_OPEN_HOPS, Ownership
+from cornelspan_ownership.ownership import MAX_HOPS_TO_HOME, Ownership
 from cornelspan_ownership.peers import PeerCalls, ServiceGroup
 from cornelspan_ownership.placement import OwnLoad, load_message
 
 IDLE_SECONDS = 600.0
 CHECK_INTERVAL_SECONDS = 0.02
-SUSPECT_SECONDS = 5.0
+REMOVAL_DELAY_SECONDS = 5.0
 OWNER_LOST = "owner lost"
 
 candidates_decoder = msgspec.msgpack.Decoder(tuple[str, ...])
@@ -45,8 +45,9 @@
 
     While ``leaving`` is set, this agent accepts no new flows and hands them all off.
     Once ``retired`` is set, it forwards OPENs too, since its directory has been sent to
-    other agents. ``homes`` has the home of each flow owned here, ``suspected`` the
-    incarnations that seem to have ended and when they are removed.
+    other agents. ``homes`` has the home of each flow owned here.
+    ``pending_removals`` has incarnations that seem to have ended, and when to remove
+    them.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         self.counts = RoutingCounts()
         self.leaving = False
         self.retired = False
-        self.suspected: list[tuple[float, AgentId]] = []
+        self.pending_removals: list[tuple[float, AgentId]] = []
         self.inbound: dict[str, Peer] = {}
         self.homes: dict[int, str] = {}
         self.without_data = FlowsWithoutData()
@@ -128,7 +129,7 @@
         return [name for name in self.group.incarnations if name != self.name]
 
     def peer_connected(self, peer: Peer) -> None:
-        """Add the stream of a process that has connected."""
+        """Add the stream of a process that has connected; send the load to an agent."""
         if peer.hello is not None and peer.hello.role == "agent":
             peer.send(self.load_message())
         if self.agents.get(peer.name) is not peer:
@@ -204,7 +205,7 @@
                 self._forward_to(routed, owner)
             case Rejected(reason):
                 self._send_reset(routed.packet, reason)
-            case ForwardTo(home) if routed.hops < MAX_OPEN_HOPS:
+            case ForwardTo(home) if routed.hops < MAX_HOPS_TO_HOME:
                 self._forward_to(routed, home)
             case _:
                 self.tasks.start(self._open(routed), name="open")
@@ -222,7 +223,11 @@
                 self._send_reset(routed.packet, reason)
 
     def _forward(self, routed: Routed) -> None:
-        """Forward a packet of a flow that isn't owned here."""
+        """Forward a packet of a flow that isn't owned here.
+
+        Resets the flow if it has ended, and drops the packet while an OPEN of the flow
+        is handled here and no owner is chosen yet.
+        """
         flow = routed.packet.flow
         pending = self.ownership.pending.get(flow)
         if pending is not None:
@@ -233,24 +238,31 @@
                 self._forward_to(routed, owner)
             case Rejected(reason) | RetryLater(reason):
                 self._send_reset(routed.packet, reason)
-            case ForwardTo(home) if routed.hops < MAX_OPEN_HOPS:
+            case ForwardTo(home) if routed.hops < MAX_HOPS_TO_HOME:
                 self._forward_to(routed, home)
             case _:
                 self._forward_to_next(routed)
 
     def _forward_to_next(self, routed: Routed) -> None:
-        """Forward a packet to the next candidate; after all of them, reset the flow."""
+        """Forward a packet of an unknown flow to the next live candidate.
+
+        After twice as many hops as there are candidates, drops an OPEN, and resets the
+        flow of any other packet.
+        """
         if routed.hops == 0:
+            # The balancer sent the packet here by its ranking or by an outdated hint,
+            # so have it forget the owner that it has learned.
             self._send_hint(routed, "")
         candidates = candidates_decoder.decode(routed.candidates)
         next_names = self._next_candidates(candidates)
         if next_names and routed.hops < 2 * len(candidates):
             self._forward_to(routed, next_names[0])
             return
-        self.counts.unknown += 1
+        self.counts.unknown_flow += 1
         if routed.packet.kind == Kind.OPEN:
-            # A retired agent and one that still has it as home forwarded the OPEN to
-            # each other. The fabric retries it, and by then the retired one is gone.
+            # A retired agent, and an agent that still records the retired one as home,
+            # forwarded the OPEN to each other. The fabric sends the OPEN again, and by
+            # then the retired agent is gone.
             return
         self._send_reset(routed.packet, "unknown flow")
 
@@ -282,7 +294,10 @@
             balancer.send(Hint(routed.packet.flow, owner))
 
     def _send_reset(self, packet: Packet, reason: str) -> None:
-        """Reset a flow at its fabric, so that the client doesn't wait for a timeout."""
+        """Reset a flow at its fabric, so that the client doesn't wait for a timeout.
+
+        A RESET is not answered.
+        """
         if packet.kind == Kind.RESET:
             return
         self.flows.transmit(
@@ -323,37 +338,39 @@
             self.send(home, Owner(flow, "", self.agent_id.incarnation))
 
     async def run(self) -> None:
-        """Call ``update`` periodically until cancelled."""
+        """Call ``check_group`` periodically until cancelled."""
         while True:
-            self.update()
+            self.check_group()
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
-    def update(self) -> None:
-        """Handle changes of the group, expire entries, and send the load if due."""
-        for agent in self.group.refresh():
-            self.calls.fail_calls_to(agent.name)
-            self.ownership.loads.remove(agent.name)
-            seconds = SUSPECT_SECONDS if self._has_stream(agent.name) else 0.0
-            self.suspected.append((self.clock() + seconds, agent))
-            self._move_to_next_homes(agent.name)
-        self._remove_suspected()
+    def check_group(self) -> None:
+        """Remove ended incarnations, expire directory entries, send the load if due.
+
+        Failure detection may remove an agent that is only slow; the agent then
+        continues under a new incarnation. If a stream to or from it is still open, it
+        is probably alive. So its flows are kept for ``REMOVAL_DELAY_SECONDS``, in which
+        it can register them again; recording them as ended at once would break flows
+        that it still serves. Without an open stream it is removed at once.
+        """
+        for ended in self.group.refresh():
+            self.calls.fail_calls_to(ended.name)
+            self.ownership.loads.remove(ended.name)
+            delay = REMOVAL_DELAY_SECONDS if self._has_stream(ended.name) else 0.0
+            self.pending_removals.append((self.clock() + delay, ended))
+            self._move_to_next_homes(ended.name)
+        self._remove_ended()
         self.ownership.directory.expire(self.clock())
         self._send_load()
 
-    def _remove_suspected(self) -> None:
-        """Remove the suspected incarnations whose time is over.
-
-        Failure detection may remove an agent that is only slow; it then continues under
-        a new incarnation. If a stream to or from it is still open, it is probably
-        alive. So its flows are kept for ``SUSPECT_SECONDS``, in which it can register
-        them again; resetting them would break flows whose owner still serves them.
-        Without an open stream it is removed at once.
-        """
+    def _remove_ended(self) -> None:
+        """Remove the incarnations whose removal delay has passed."""
         now = self.clock()
-        due = [agent for until, agent in self.suspected if until <= now]
-        self.suspected = [entry for entry in self.suspected if entry[0] > now]
+        due = [agent for remove_at, agent in self.pending_removals if remove_at <= now]
+        self.pending_removals = [
+            entry for entry in self.pending_removals if entry[0] > now
+        ]
         for agent in due:
-            handlers.remove_peer(self.ownership, agent.name, agent.incarnation)
+            handlers.remove_incarnation(self.ownership, agent.name, agent.incarnation)
 
     def _has_stream(self, name: str) -> bool:
         """Whether a stream to or from another agent is open."""
--- a/tests/ownership_agents.py
+++ b/tests/ownership_agents.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from cornelspan_ownership.directory import AgentId, Directory
-from cornelspan_ownership.handlers import remove_peer
+from cornelspan_ownership.handlers import remove_incarnation
 from cornelspan_ownership.ownership import Ownership
 from cornelspan_ownership.placement import OwnLoad, load_message
 
@@ -90,4 +90,4 @@
         self.gone.add(name)
         if self.view.pop(name, None):
             self.stable = False
-        remove_peer(self.state, name, 1)
+        remove_incarnation(self.state, name, 1)
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -16,7 +16,7 @@
 from cornelspan_common.packets import Kind, Packet
 from cornelspan_ownership.handlers import answer_claim, answer_handoff
 from cornelspan_ownership.interfaces import CallError
-from cornelspan_ownership.ownership import MAX_OPEN_HOPS
+from cornelspan_ownership.ownership import MAX_HOPS_TO_HOME
 from ownership_agents import Agent
 
 ADDRESS = "127.0.0.1:80"
@@ -252,7 +252,7 @@
     def opened(self, opened, context):
         candidates, hops = context
         match type(opened).__name__:
-            case "ForwardTo" if hops < 2 * MAX_OPEN_HOPS:
+            case "ForwardTo" if hops < 2 * MAX_HOPS_TO_HOME:
                 self.in_flight.append(("open", opened.home, candidates, hops + 1))
             case "Rejected":
                 self.refused = True
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -37,7 +37,7 @@
 def test_every_alarm_is_on_the_operators_page():
     page = (ROOT / "docs/OPERATIONS.md").read_text()
     found = set(alarms())
-    assert "burn alert over" in found
+    assert "burn alert ended" in found
     assert {event for event in found if f"`{event}`" not in page} == set()
 
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -64,13 +64,13 @@
     levels.add_counts(
         ServiceCounts("order-hub-1", 1, "order-hub", NOW, bad, b""), DATACENTRE
     )
-    raised = levels.check(NOW)
+    raised = levels.update_alerts(NOW)
     assert next(change.alert for change in raised if change.firing) == FAST.name
-    assert levels.check(NOW) == []
+    assert levels.update_alerts(NOW) == []
     good = tuple(Minute(NOW + age, 100, 0) for age in range(1, 7))
     levels.add_counts(
         ServiceCounts("order-hub-1", 1, "order-hub", NOW + 6, good, b""), DATACENTRE
     )
-    ended = levels.check(NOW + 6)
+    ended = levels.update_alerts(NOW + 6)
     assert [c.alert for c in ended if not c.firing] == [FAST.name]
     assert {each.labels["window"] for each in levels.rates()} >= {"5 min", "1 h"}
