--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -83,7 +83,7 @@
             self.agents,
             tasks,
         )
-        self.router.measure = self.load
+        self.router.measure_load = self.load
         self.leaving = False
 
     @property
@@ -121,7 +121,7 @@
     async def serve_packets(self, peer: Peer) -> None:
         """Route the packets of one balancer or agent until its stream ends."""
         router = self.router
-        router.met(peer)
+        router.peer_connected(peer)
         try:
             async for batch in batches(peer):
                 for message in batch:
@@ -132,7 +132,7 @@
                     else:
                         self._receive(peer, message)
         finally:
-            router.parted(peer)
+            router.peer_disconnected(peer)
             self.gateway.peer_lost(peer.name)
 
     def _receive(self, peer: Peer, message: Message) -> None:
@@ -151,16 +151,16 @@
         http_load = self.gateway.own_load()
         if http_load is None:
             return OwnLoad(0, 0)
-        waiting = http_load.waiting + self.router.silent_flows()
+        waiting = http_load.waiting + self.router.count_flows_without_data()
         return dataclasses.replace(http_load, waiting=waiting)
 
     def renew(self, incarnation: int) -> None:
         """Continue under a new incarnation, as others detected this one as failed."""
-        self.router.renew(incarnation)
+        self.router.change_incarnation(incarnation)
         self.hello = msgspec.structs.replace(self.hello, incarnation=incarnation)
         for holder in (self.fabrics, self.agents, self.server):
             holder.hello = self.hello
-        self.router.renew(incarnation)
+        self.router.change_incarnation(incarnation)
 
     def connect_peers(self) -> None:
         """Keep a stream to each other agent of the service."""
@@ -225,10 +225,14 @@
         metrics.count("opens_kept", "Placed here by this home", lambda: opens.kept)
         metrics.count("opens_handed_off", "Handed off", lambda: opens.handed_off)
         metrics.count("opens_claimed", "Claimed before", lambda: opens.claimed)
-        metrics.count("opens_waited", "Left to be repeated", lambda: opens.waits)
-        metrics.count("packets_passed", "Passed to an agent", lambda: routing.passed)
-        metrics.count("packets_foreign", "Of another service", lambda: routing.foreign)
-        metrics.count("packets_unknown", "Of unknown flows", lambda: routing.unknown)
+        metrics.count("opens_waited", "Left to be repeated", lambda: opens.deferred)
+        metrics.count("packets_passed", "Passed to an agent", lambda: routing.forwarded)
+        metrics.count(
+            "packets_foreign", "Of another service", lambda: routing.wrong_service
+        )
+        metrics.count(
+            "packets_unknown", "Of unknown flows", lambda: routing.unknown_flow
+        )
 
     async def serve_flow(self, channel: Channel) -> None:
         """Serve one flow as the kind of its service's profile requires."""
@@ -259,7 +263,7 @@
         running_agent = Agent(settings, configuration, members, tasks, tls)
         peers = Peers(
             send=running_agent.router.send,
-            names=running_agent.router.reachable,
+            names=running_agent.router.peer_names,
             loads=running_agent.router.ownership.loads,
         )
         async with (
@@ -295,7 +299,7 @@
                 name="sweep",
             )
             members.announce(running_agent.announcement())
-            tasks.start(running_agent.router.watch(), name="watch peers")
+            tasks.start(running_agent.router.run(), name="watch peers")
             counts = running_agent.gateway.objective_counts
             reporting = report_counts(counts, settings, running_agent.control.plane)
             tasks.start(reporting, name="report counts")
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/forwarding.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/forwarding.py
@@ -1,8 +1,8 @@
-"""Forwarding: from a packet of the fabric to the agent that should have it.
+"""Forwards packets from the fabrics to agents.
 
-A balancer keeps no state that a flow depends on. The rank of a service's endpoints for
-a flow follows from the flow and the members alone, so every balancer names the same
-home; what was learned of owners only saves a hop.
+No flow depends on the state of one balancer. The ranking of a service's agents
+depends on the flow and the membership alone, so every balancer ranks the same home
+first. A learned owner only saves a hop.
 """
 
 from dataclasses import dataclass
@@ -17,12 +17,12 @@
 from cornelspan_control.members import Members
 from cornelspan_control.ranking import Candidates, Ranking
 
-ROUTES = 65_536
+MAX_ROUTES = 65_536
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where a flow's packets go, and its candidates as msgpack."""
+    """The next hop of a flow's packets, and its candidates encoded as msgpack."""
 
     address: str
     peer: Peer
@@ -31,7 +31,11 @@
 
 @dataclass
 class ForwardingCounts:
-    """Packets by what became of them."""
+    """Counts of packets by outcome, and of learned owners.
+
+    ``no_endpoint`` counts packets of a service without known agents, ``no_stream``
+    those of a service whose agents are all disconnected.
+    """
 
     forwarded: int = 0
     no_service: int = 0
@@ -41,10 +45,10 @@
 
 
 class Forwarder:
-    """Routes of flows, from ranked candidates and learned owners.
+    """Forwards packets by ranked candidates and learned owners.
 
-    A route is kept until members, configuration or streams change: to rank and look up
-    each packet anew took a third of a balancer's time.
+    A flow's route is cached until members, configuration or streams change: ranking
+    and lookup for each packet took a third of a balancer's processor time.
     """
 
     def __init__(
@@ -63,41 +67,46 @@
         self.ranking = Ranking(members)
         self.learned = Learned(learned_flows)
         self.routes: dict[int, Route] = {}
-        self.seen = (-1, -1, -1)
+        self.routes_version = (-1, -1, -1)
         self.counts = ForwardingCounts()
 
     def forward(self, packet: Packet) -> None:
-        """Send a packet on; one that has nowhere to go is counted and dropped."""
-        if self.seen != self._version():
-            self._begin_anew()
+        """Forward a packet; count and drop it if it has no service or no agent."""
+        if self.routes_version != self._current_version():
+            self._clear_routes()
         route = self.routes.get(packet.flow)
         if route is None or route.address != packet.address:
-            route = self._route(packet)
+            route = self._find_route(packet)
             if route is None:
                 return
         route.peer.send_packet(Routed(packet, route.encoded, 0, self.name))
         self.counts.forwarded += 1
 
     def learn(self, hint: Hint) -> None:
-        """Note a flow's owner, or forget it."""
+        """Store the owner named in a hint; an empty name removes the stored one."""
         self.counts.learned += bool(hint.owner)
         self.learned.learn(hint.flow, hint.owner)
         self.routes.pop(hint.flow, None)
 
-    def _version(self) -> tuple[int, int, int]:
-        """What routes follow from; they hold until one of these moves."""
+    def _current_version(self) -> tuple[int, int, int]:
+        """Return the versions that cached routes depend on."""
         return (
             self.members.version,
             self.configuration.revision,
             self.links.version,
         )
 
-    def _begin_anew(self) -> None:
-        self.seen = self._version()
+    def _clear_routes(self) -> None:
+        self.routes_version = self._current_version()
         self.routes.clear()
 
-    def _route(self, packet: Packet) -> Route | None:
-        """Find where a flow's packets go, and keep it."""
+    def _find_route(self, packet: Packet) -> Route | None:
+        """Find and cache a flow's route.
+
+        Returns:
+            The route; None, with the packet counted as dropped, if no service has its
+            address or no agent of the service is connected.
+        """
         service = self.configuration.by_address.get(packet.address)
         if service is None:
             self.counts.no_service += 1
@@ -105,25 +114,25 @@
         candidates = self.ranking.candidates(service.name, packet.flow)
         peer = self.links.open.get(self.learned.owner(packet.flow))
         if peer is None:
-            peer = self._first_open(candidates)
+            peer = self._first_connected(candidates)
         if peer is None:
-            self._count_unsent(candidates)
+            self._count_dropped(candidates)
             return None
-        if len(self.routes) >= ROUTES:
+        if len(self.routes) >= MAX_ROUTES:
             self.routes.clear()
         route = Route(packet.address, peer, candidates.encoded)
         self.routes[packet.flow] = route
         return route
 
-    def _first_open(self, candidates: Candidates) -> Peer | None:
-        """Return the stream to the best candidate that has one."""
+    def _first_connected(self, candidates: Candidates) -> Peer | None:
+        """Return the stream to the best connected candidate."""
         for name in candidates.names:
             peer = self.links.open.get(name)
             if peer is not None:
                 return peer
         return None
 
-    def _count_unsent(self, candidates: Candidates) -> None:
+    def _count_dropped(self, candidates: Candidates) -> None:
         if candidates.names:
             self.counts.no_stream += 1
         else:
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/placement.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/placement.py
@@ -1,12 +1,12 @@
-"""Chooses the agent of a service that shall own a new flow.
+"""Chooses the agent of a service that will own a new flow.
 
-Agents of a service tell one another their load; balancers, whose view is late, have no
-part in it. A home keeps a flow while it has a slot free, and else hands it to the agent
-that would finish it first.
+The agents of a service send each other their load. Balancers don't take part, since
+their view of the load is out of date. A home keeps a flow while it has a free slot;
+otherwise it hands the flow off to the agent expected to finish a request first.
 
-    loads = Loads()
+    loads = LoadTable()
     loads.update(load)
-    choose(OwnLoad(slots=2, running=2, waiting=1), loads, ["agent-2", "agent-3"])
+    rank_targets(OwnLoad(slots=2, running=2), loads, ["agent-2", "agent-3"])
 """
 
 from dataclasses import dataclass, field
@@ -15,22 +15,23 @@
 from cornelspan_common.ownership import Load
 
 SLOW_RATIO = 1.6
-WITHOUT_MEASURE = 0.05
+DEFAULT_SERVICE_SECONDS = 0.05
 UNMEASURED = 0.0
-MEAN_RATIO = 1.25
-TIE_SHARE = 1e-3
-LOAD_SECONDS = 0.2
-HANDOFF_TRIES = 3
+MEAN_CHANGE_RATIO = 1.25
+TIE_BREAK_SHARE = 1e-3
+LOAD_INTERVAL_SECONDS = 0.2
+HANDOFF_ATTEMPTS = 3
 NO_LIMIT = -1
 
 
 @dataclass(frozen=True, slots=True)
 class OwnLoad:
-    """This agent's load at this moment.
+    """This agent's current load.
 
-    ``mean_seconds`` is how long a request holds a slot of late, ``UNMEASURED`` while
-    none has lately. An endpoint that starts cold reports it longer than it is, by the
-    share that the ramp still holds back; an ejected or leaving one has no slots.
+    ``mean_seconds`` is how long recent requests held a slot, or ``UNMEASURED`` without
+    recent requests. During slow start an endpoint reports a longer time, in proportion
+    to the load that the ramp still holds back. An ejected or leaving endpoint has no
+    slots. ``urgent`` counts the waiting requests whose priority was not lowered.
     """
 
     slots: int
@@ -42,20 +43,20 @@
 
 @dataclass(slots=True)
 class PeerLoad:
-    """A peer's last ``Load``, and the hand-offs to it that no answer has come to."""
+    """A peer's last ``Load``, and the number of hand-offs to it without an answer."""
 
     load: Load
     unanswered: int = 0
 
 
 @dataclass(slots=True)
-class Loads:
-    """What the peers of the service have told of their load."""
+class LoadTable:
+    """The loads received from the peers of the service."""
 
     peers: dict[str, PeerLoad] = field(default_factory=dict)
 
     def update(self, load: Load) -> None:
-        """Take in a load; one from an earlier life than the known is left out."""
+        """Store a received load, unless it is from an earlier incarnation."""
         peer = self.peers.get(load.name)
         if peer is None:
             self.peers[load.name] = PeerLoad(load)
@@ -66,29 +67,30 @@
             peer.unanswered = 0
         peer.load = load
 
-    def sent(self, name: str) -> None:
-        """Count a hand-off that is on its way to a peer.
+    def add_unanswered(self, name: str) -> None:
+        """Count a hand-off that is about to be sent to a peer.
 
-        Until its answer brings the peer's new load, all opens of one moment would
-        otherwise see the same least loaded peer and fall on it together.
+        The stored load doesn't include this flow until the peer reports it. Without
+        this count, OPENs that arrive together would all choose the same least loaded
+        peer. Does nothing for a peer without a stored load.
         """
         if name in self.peers:
             self.peers[name].unanswered += 1
 
-    def answered(self, name: str) -> None:
-        """Count a hand-off's answer."""
+    def remove_unanswered(self, name: str) -> None:
+        """Count the answer to a hand-off."""
         peer = self.peers.get(name)
         if peer is not None and peer.unanswered > 0:
             peer.unanswered -= 1
 
-    def forget(self, name: str) -> None:
-        """Forget a peer that is gone."""
+    def remove(self, name: str) -> None:
+        """Remove a peer that is gone."""
         self.peers.pop(name, None)
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
-    """An agent that may own a new flow; "" is the one that chooses."""
+class PlacementTarget:
+    """An agent that a new flow may be placed on; name "" is this agent."""
 
     name: str
     slots: int
@@ -96,93 +98,102 @@
     mean_seconds: float
 
 
-def choose(own: OwnLoad | None, loads: Loads, peers: list[str]) -> list[str]:
-    """Return the agents to place a flow on, best first; "" is this agent itself.
+def rank_targets(own: OwnLoad | None, loads: LoadTable, peers: list[str]) -> list[str]:
+    """Return the agents to place a flow on, best first; "" is this agent.
+
+    This agent comes first if it has a free slot and isn't slow, then by ``cost``.
 
     Args:
-        own: This agent's load; None if it may take nothing new.
+        own: This agent's load; None if it must not take the flow.
         loads: The peers' loads.
-        peers: The peers of the service that can be reached, in the flow's rank; among
-            equals the earlier wins, which spreads equals over flows.
+        peers: The reachable peers of the service, as ranked for the flow. Of peers with
+            equal cost the earlier comes first, so different flows use different peers.
     """
-    choices = [_own_choice(own)] if own is not None and own.slots > 0 else []
+    targets = [_local_target(own)] if own is not None and own.slots > 0 else []
     known = [loads.peers[name] for name in peers if name in loads.peers]
-    choices += [_peer_choice(peer) for peer in known if peer.load.slots > 0]
-    if not choices:
+    targets += [_peer_target(peer) for peer in known if peer.load.slots > 0]
+    if not targets:
         return []
-    usual = _usual(choices)
-    costs = [(cost(choice, usual), choice.name) for choice in choices]
+    typical_seconds = _typical_seconds(targets)
+    costs = [(cost(target, typical_seconds), target.name) for target in targets]
     costs.sort(key=lambda pair: pair[0])
     ordered = [name for _, name in costs]
-    if _keeps(choices[0], usual):
+    if _keeps_flow(targets[0], typical_seconds):
         ordered.remove("")
         ordered.insert(0, "")
     return ordered
 
 
-def _usual(choices: list[Choice]) -> float:
-    """Return the median of the service times that are known.
+def _typical_seconds(targets: list[PlacementTarget]) -> float:
+    """Return the median of the known mean service times, in seconds.
 
-    An endpoint without a measure is taken for a usual one. Taken for as slow as some
-    fixed figure, one that starts among faster ones was used last, so it was never
-    measured and stayed without work for good.
+    An endpoint without a measurement counts as typical. With a fixed default instead,
+    an endpoint that started among faster ones was always chosen last, so it was never
+    measured and never got any work.
     """
-    measured = [each.mean_seconds for each in choices if each.mean_seconds > UNMEASURED]
-    return median_low(measured) if measured else WITHOUT_MEASURE
+    measured = [each.mean_seconds for each in targets if each.mean_seconds > UNMEASURED]
+    return median_low(measured) if measured else DEFAULT_SERVICE_SECONDS
 
 
-def busy_limit(loads: Loads, name: str, tries: int) -> int:
-    """Return how busy a peer may be and still take a hand-off.
+def busy_limit(loads: LoadTable, name: str, attempts_left: int) -> int:
+    """Return how busy a peer may be and still accept a hand-off.
 
-    The home's view of a peer is late by up to ``LOAD_SECONDS``. A peer that has filled
-    up since refuses, and its answer brings its load, so the next choice is better. The
-    last try has no limit, so that an open is never sent round for long.
+    The home's view of a peer is up to ``LOAD_INTERVAL_SECONDS`` old. A peer that has
+    filled up since then rejects the hand-off, and its answer has its current load, so
+    the next choice is better. The last attempt has no limit, so that a flow is not
+    handed off again and again.
 
     Args:
-        loads: The home's view, before the hand-off is counted in it.
+        loads: The home's view, before this hand-off is counted in it.
         name: The peer that the hand-off goes to.
-        tries: Tries left, this one included.
+        attempts_left: Attempts left, including this one.
+
+    Returns:
+        The number of running and waiting requests and unanswered hand-offs that the
+        home knows of, or ``NO_LIMIT``.
     """
-    if tries <= 1:
+    if attempts_left <= 1:
         return NO_LIMIT
     peer = loads.peers[name]
     return peer.load.running + peer.load.waiting + peer.unanswered
 
 
-def takes(own: OwnLoad, limit: int) -> bool:
-    """Whether an agent takes a hand-off that was sent with a ``busy_limit``."""
+def accepts_handoff(own: OwnLoad, limit: int) -> bool:
+    """Whether an agent has a free slot, or is no busier than a ``busy_limit``."""
     if own.slots == 0:
         return False
     busy = own.running + own.waiting
     return limit == NO_LIMIT or busy < own.slots or busy <= limit
 
 
-def tells_at_once(told: Load, own: OwnLoad) -> bool:
-    """Whether a change of load can't wait for the next ``LOAD_SECONDS``.
+def must_send_now(sent: Load, own: OwnLoad) -> bool:
+    """Whether a change of load can't wait for the next ``LOAD_INTERVAL_SECONDS``.
 
-    A slot that peers believe taken stays empty while flows wait elsewhere, and one that
-    is no more, as at the begin of a drain, draws hand-offs that are then refused.
+    If peers don't know of a free slot, it stays unused while flows wait elsewhere. If
+    they don't know that an agent has no slots any more, as when a drain begins, they
+    send hand-offs that it rejects.
     """
-    if (told.slots == 0) != (own.slots == 0):
+    if (sent.slots == 0) != (own.slots == 0):
         return True
-    was_full = told.running + told.waiting >= told.slots
+    was_full = sent.running + sent.waiting >= sent.slots
     return was_full and own.running + own.waiting < own.slots
 
 
-def mean_has_moved(told: Load, own: OwnLoad) -> bool:
-    """Whether peers believe an endpoint clearly faster or slower than it is.
+def mean_has_changed(sent: Load, own: OwnLoad) -> bool:
+    """Whether the mean service time differs clearly from the last one sent.
 
-    An idle endpoint's mean moves too, at the end of its ramp. Untold, its peers would
-    take it for slow until its next request, which they then never send.
+    The reported mean of an idle endpoint changes too, at the end of its ramp. If it
+    didn't send the change, its peers would treat it as slow until its next request,
+    which they would never send.
     """
-    low, high = sorted((told.mean_seconds, own.mean_seconds))
-    return high > low * MEAN_RATIO
+    low, high = sorted((sent.mean_seconds, own.mean_seconds))
+    return high > low * MEAN_CHANGE_RATIO
 
 
 def load_message(
     service: str, name: str, incarnation: int, own: OwnLoad, flows: int = 0
 ) -> Load:
-    """Return what an agent tells its peers of its load."""
+    """Return the message that reports an agent's load to its peers."""
     return Load(
         service,
         name,
@@ -196,37 +207,37 @@
     )
 
 
-def cost(choice: Choice, usual: float) -> float:
-    """Return the seconds until a new request would be done behind what is there.
+def cost(target: PlacementTarget, typical_seconds: float) -> float:
+    """Return the estimated time to finish a new request on a target, in seconds.
 
-    Means differ by chance all the time. Taken as they are, they would send most flows
-    to whoever was lucky of late, so a mean counts as the usual one until it is clearly
-    longer. Among endpoints with a free slot the less busy wins by a small share.
+    Mean service times vary randomly. Used directly, most flows would go to the endpoint
+    with the shortest recent mean, so a mean counts as typical unless it is clearly
+    longer. ``TIE_BREAK_SHARE`` ranks the less busy of two with a free slot first.
 
     Args:
-        choice: The agent to be judged.
-        usual: The median of the group's mean service times, in seconds.
+        target: The agent to place the request on.
+        typical_seconds: The median of the group's mean service times, in seconds.
     """
-    mean = choice.mean_seconds if _is_slow(choice, usual) else usual
-    rounds = max(1.0, (choice.busy + 1) / choice.slots)
-    return mean * (rounds + TIE_SHARE * choice.busy / choice.slots)
+    mean = target.mean_seconds if _is_slow(target, typical_seconds) else typical_seconds
+    rounds = max(1.0, (target.busy + 1) / target.slots)
+    return mean * (rounds + TIE_BREAK_SHARE * target.busy / target.slots)
 
 
-def _is_slow(choice: Choice, usual: float) -> bool:
-    return choice.mean_seconds > SLOW_RATIO * usual
+def _is_slow(target: PlacementTarget, typical_seconds: float) -> bool:
+    return target.mean_seconds > SLOW_RATIO * typical_seconds
 
 
-def _keeps(choice: Choice, usual: float) -> bool:
-    """Whether a home keeps a flow: it has a slot free and isn't a slow endpoint."""
-    free = choice.busy < choice.slots
-    return choice.name == "" and free and not _is_slow(choice, usual)
+def _keeps_flow(target: PlacementTarget, typical_seconds: float) -> bool:
+    """Whether a target is this agent, has a free slot and isn't slow."""
+    free = target.busy < target.slots
+    return target.name == "" and free and not _is_slow(target, typical_seconds)
 
 
-def _own_choice(own: OwnLoad) -> Choice:
-    return Choice("", own.slots, own.running + own.waiting, own.mean_seconds)
+def _local_target(own: OwnLoad) -> PlacementTarget:
+    return PlacementTarget("", own.slots, own.running + own.waiting, own.mean_seconds)
 
 
-def _peer_choice(peer: PeerLoad) -> Choice:
+def _peer_target(peer: PeerLoad) -> PlacementTarget:
     load = peer.load
     busy = load.running + load.waiting + peer.unanswered
-    return Choice(load.name, load.slots, busy, load.mean_seconds)
+    return PlacementTarget(load.name, load.slots, busy, load.mean_seconds)
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
@@ -20,19 +20,19 @@
 from cornelspan_common.tasks import Tasks
 from cornelspan_control.configuration import Configuration
 from cornelspan_control.members import Members
-from cornelspan_ownership import promises
-from cornelspan_ownership.directory import Directory, Holder
+from cornelspan_ownership import handlers
+from cornelspan_ownership.directory import AgentId, Directory
 from cornelspan_ownership.flows import Flows
-from cornelspan_ownership.group import At, PassOn, Refused, Wait
-from cornelspan_ownership.loadnews import LoadNews, SilentFlows
-from cornelspan_ownership.localflows import LocalFlows, RoutingCounts
-from cornelspan_ownership.ownership import OPEN_HOPS, Ownership
-from cornelspan_ownership.peers import Questions, ServiceGroup
+from cornelspan_ownership.interfaces import ForwardTo, OwnedBy, Rejected, RetryLater
+from cornelspan_ownership.load_reporting import FlowsWithoutData, LoadReporter
+from cornelspan_ownership.local_flows import LocalFlows, RoutingCounts
+from cornelspan_ownership.ownership import MAX_HOPS_TO_HOME, Ownership
+from cornelspan_ownership.peers import PeerCalls, ServiceGroup
 from cornelspan_ownership.placement import OwnLoad, load_message
 
 IDLE_SECONDS = 600.0
-LOOK_SECONDS = 0.02
-DOUBT_SECONDS = 5.0
+CHECK_INTERVAL_SECONDS = 0.02
+REMOVAL_DELAY_SECONDS = 5.0
 OWNER_LOST = "owner lost"
 
 candidates_decoder = msgspec.msgpack.Decoder(tuple[str, ...])
@@ -41,10 +41,13 @@
 
 
 class Router:
-    """Finds the owner of each packet's flow: here, or at another agent.
+    """Routes each packet to the owner of its flow: this agent or another one.
 
-    ``leaving`` refuses all new flows by handing them off; ``retired`` passes even the
-    placing on, since what this agent knew has been handed over.
+    While ``leaving`` is set, this agent accepts no new flows and hands them all off.
+    Once ``retired`` is set, it forwards OPENs too, since its directory has been sent to
+    other agents. ``homes`` has the home of each flow owned here.
+    ``pending_removals`` has incarnations that seem to have ended, and when to remove
+    them.
     """
 
     def __init__(
@@ -58,7 +61,7 @@
         tasks: Tasks,
     ) -> None:
         self.name = settings.name
-        self.me = Holder(settings.name, incarnation)
+        self.agent_id = AgentId(settings.name, incarnation)
         self.settings = settings
         self.configuration = configuration
         self.flows = flows
@@ -67,98 +70,103 @@
         self.counts = RoutingCounts()
         self.leaving = False
         self.retired = False
-        self.doubted: list[tuple[float, Holder]] = []
+        self.pending_removals: list[tuple[float, AgentId]] = []
         self.inbound: dict[str, Peer] = {}
         self.homes: dict[int, str] = {}
-        self.silent = SilentFlows()
-        self.measure: Callable[[], OwnLoad] = self.flow_load
+        self.without_data = FlowsWithoutData()
+        self.measure_load: Callable[[], OwnLoad] = self.flow_load
         clock = asyncio.get_running_loop().time
         self.clock = clock
-        self.group = ServiceGroup(self.me, settings.service, members, clock)
-        self.questions = Questions(self.send)
+        self.group = ServiceGroup(self.agent_id, settings.service, members, clock)
+        self.calls = PeerCalls(self.send)
         self.ownership = Ownership(
-            self.me,
+            self.agent_id,
             settings.service,
             self.group,
             LocalFlows(flows, self.load),
-            self.questions.ask,
+            self.calls.call,
             clock,
             Directory(idle_seconds=IDLE_SECONDS),
         )
-        self.news = LoadNews(self.load_message())
-        flows.forgotten = self._ended
-        flows.began = lambda channel: self.silent.add(channel, clock())
+        self.load_reporter = LoadReporter(self.load_message())
+        flows.on_removed = self._flow_ended
+        flows.on_opened = lambda channel: self.without_data.add(channel, clock())
 
     def flow_load(self) -> OwnLoad:
-        """Return the load by flows alone, where nothing measures requests."""
+        """Return the load by the number of flows, for services without HTTP."""
         return OwnLoad(self.settings.slots, len(self.flows.owned))
 
-    def silent_flows(self) -> int:
-        """Return how many flows were opened a moment ago and have sent nothing yet."""
-        return self.silent.count(self.clock())
+    def count_flows_without_data(self) -> int:
+        """Return the number of recently opened flows without data."""
+        return self.without_data.count(self.clock())
 
     def load(self) -> OwnLoad:
-        """Return this agent's load; without slots while it takes nothing new."""
+        """Return this agent's load, with 0 slots while it accepts no new flows."""
         full = len(self.flows.owned) >= self.settings.connections
         if self.leaving or full:
             return OwnLoad(0, len(self.flows.owned))
-        return self.measure()
+        return self.measure_load()
 
     def load_message(self) -> Load:
-        """Return what peers are told of the load."""
-        me = self.me
+        """Return the message that reports the load to peers."""
+        agent_id = self.agent_id
         load = self.load()
         return load_message(
-            self.settings.service, me.name, me.incarnation, load, len(self.flows.owned)
+            self.settings.service,
+            agent_id.name,
+            agent_id.incarnation,
+            load,
+            len(self.flows.owned),
         )
 
     def send(self, name: str, message: Message) -> bool:
-        """Send to another agent on whichever stream is open."""
+        """Send to a process on an open stream; False if there is none."""
         peer = self.agents.get(name) or self.inbound.get(name)
         return peer is not None and peer.send(message)
 
-    def reachable(self) -> list[str]:
-        """Return the other agents of the service that a stream is open to."""
-        return [name for name in self.group.lives if name != self.name]
+    def peer_names(self) -> list[str]:
+        """Return the other known agents of the service."""
+        return [name for name in self.group.incarnations if name != self.name]
 
-    def met(self, peer: Peer) -> None:
-        """Take in a stream from another process."""
+    def peer_connected(self, peer: Peer) -> None:
+        """Add the stream of a process that has connected; send the load to an agent."""
         if peer.hello is not None and peer.hello.role == "agent":
             peer.send(self.load_message())
         if self.agents.get(peer.name) is not peer:
             self.inbound[peer.name] = peer
 
-    def parted(self, peer: Peer) -> None:
-        """Forget a stream that has ended."""
+    def peer_disconnected(self, peer: Peer) -> None:
+        """Remove a stream that has ended."""
         if self.inbound.get(peer.name) is peer:
             del self.inbound[peer.name]
 
     def receive(self, peer: Peer, message: OwnershipMessage) -> None:
-        """Take in what another agent asks, answers or tells."""
+        """Handle an ownership message from another agent."""
         match message:
             case Load(service=self.settings.service):
-                self.group.meet(message.name, message.incarnation)
+                self.group.add_peer(message.name, message.incarnation)
                 self.ownership.loads.update(message)
             case Claim():
-                self._meet(peer, message)
-                self._reply(peer, promises.answer_claim(self.ownership, message))
+                self._add_sender(peer, message)
+                self._reply(peer, handlers.answer_claim(self.ownership, message))
             case Handoff():
-                self._meet(peer, message)
-                self._take_over(peer, message)
+                self._add_sender(peer, message)
+                self._handle_handoff(peer, message)
             case ClaimAnswer() | HandoffAnswer():
-                self.questions.answered(peer.name, message)
+                self.calls.handle_answer(peer.name, message)
             case Owner():
-                promises.take_owner(self.ownership, message)
+                handlers.record_owner(self.ownership, message)
             case _:
                 peer.refused += 1
 
     def route(self, routed: Routed) -> None:
-        """Deliver a packet, open its flow, or pass it on."""
+        """Deliver a packet, open its flow, or forward the packet."""
         packet = routed.packet
-        if not self._is_ours(packet):
-            # A balancer with an older configuration may still think the address ours.
-            # Taken in, the packet would reach a backend server of another service.
-            self.counts.foreign += 1
+        if not self._is_own_service(packet):
+            # A balancer with an older configuration may still map the address to this
+            # service. Delivered here, the packet would reach a backend server of the
+            # wrong service.
+            self.counts.wrong_service += 1
             return
         channel = self.flows.find(packet.flow)
         if channel is not None:
@@ -167,110 +175,129 @@
         if packet.kind == Kind.OPEN and not self.retired:
             self._route_open(routed)
             return
-        self._pass_on(routed)
+        self._forward(routed)
 
     def _deliver(self, routed: Routed) -> None:
         packet = routed.packet
         channel = self.flows.find(packet.flow)
         if channel.address != packet.address:
-            self.counts.foreign += 1
+            self.counts.wrong_service += 1
             return
         self.counts.delivered += 1
         if channel.error is not None:
-            # The fabric's end may have missed that the flow was reset.
-            self._refuse(packet, channel.error.reason)
+            # The fabric may have lost the first RESET.
+            self._send_reset(packet, channel.error.reason)
         elif packet.kind == Kind.OPEN:
             channel.accept(self.name)
         else:
             channel.receive(packet)
         if routed.hops:
-            self._hint(routed, self.name)
+            self._send_hint(routed, self.name)
 
-    def _is_ours(self, packet: Packet) -> bool:
+    def _is_own_service(self, packet: Packet) -> bool:
         service = self.configuration.by_address.get(packet.address)
         return service is not None and service.name == self.settings.service
 
     def _route_open(self, routed: Routed) -> None:
         located = self.ownership.locate(routed.packet.flow)
         match located:
-            case At(owner):
-                self._send_on(routed, owner)
-            case Refused(reason):
-                self._refuse(routed.packet, reason)
-            case PassOn(home) if routed.hops < OPEN_HOPS:
-                self._send_on(routed, home)
+            case OwnedBy(owner):
+                self._forward_to(routed, owner)
+            case Rejected(reason):
+                self._send_reset(routed.packet, reason)
+            case ForwardTo(home) if routed.hops < MAX_HOPS_TO_HOME:
+                self._forward_to(routed, home)
             case _:
                 self.tasks.start(self._open(routed), name="open")
 
     async def _open(self, routed: Routed) -> None:
-        """Decide on a new flow, and act on the decision."""
+        """Find or place the owner of a flow, and act on the result."""
         candidates = candidates_decoder.decode(routed.candidates)
         opened = await self.ownership.open(routed.packet, candidates, routed.hops)
         match opened:
-            case At(owner):
-                self._hint(routed, owner)
-            case PassOn(home):
-                self._send_on(routed, home)
-            case Refused(reason):
-                self._refuse(routed.packet, reason)
-
-    def _pass_on(self, routed: Routed) -> None:
-        """Give a packet of a flow that isn't here to whoever may have it."""
+            case OwnedBy(owner):
+                self._send_hint(routed, owner)
+            case ForwardTo(home):
+                self._forward_to(routed, home)
+            case Rejected(reason):
+                self._send_reset(routed.packet, reason)
+
+    def _forward(self, routed: Routed) -> None:
+        """Forward a packet of a flow that isn't owned here.
+
+        Resets the flow if it has ended, and drops the packet while an OPEN of the flow
+        is handled here and no owner is chosen yet.
+        """
         flow = routed.packet.flow
         pending = self.ownership.pending.get(flow)
         if pending is not None:
-            self._send_on(routed, pending.target)
+            self._forward_to(routed, pending.target)
             return
         match self.ownership.locate(flow):
-            case At(owner):
-                self._send_on(routed, owner)
-            case Refused(reason) | Wait(reason):
-                self._refuse(routed.packet, reason)
-            case PassOn(home) if routed.hops < OPEN_HOPS:
-                self._send_on(routed, home)
+            case OwnedBy(owner):
+                self._forward_to(routed, owner)
+            case Rejected(reason) | RetryLater(reason):
+                self._send_reset(routed.packet, reason)
+            case ForwardTo(home) if routed.hops < MAX_HOPS_TO_HOME:
+                self._forward_to(routed, home)
             case _:
-                self._ask_round(routed)
+                self._forward_to_next(routed)
+
+    def _forward_to_next(self, routed: Routed) -> None:
+        """Forward a packet of an unknown flow to the next live candidate.
 
-    def _ask_round(self, routed: Routed) -> None:
-        """Give a packet to the next candidate; once all had it, the flow is unknown."""
+        After twice as many hops as there are candidates, drops an OPEN, and resets the
+        flow of any other packet.
+        """
         if routed.hops == 0:
-            self._hint(routed, "")
+            # The balancer sent the packet here by its ranking or by an outdated hint,
+            # so have it forget the owner that it has learned.
+            self._send_hint(routed, "")
         candidates = candidates_decoder.decode(routed.candidates)
-        following = self._following(candidates)
-        if following and routed.hops < 2 * len(candidates):
-            self._send_on(routed, following[0])
+        next_names = self._next_candidates(candidates)
+        if next_names and routed.hops < 2 * len(candidates):
+            self._forward_to(routed, next_names[0])
             return
-        self.counts.unknown += 1
+        self.counts.unknown_flow += 1
         if routed.packet.kind == Kind.OPEN:
-            # A retired agent and one that still takes it for the home have passed an
-            # open to and fro. The end repeats it, and by then the retired one is gone.
+            # A retired agent, and an agent that still records the retired one as home,
+            # forwarded the OPEN to each other. The fabric sends the OPEN again, and by
+            # then the retired agent is gone.
             return
-        self._refuse(routed.packet, "unknown flow")
+        self._send_reset(routed.packet, "unknown flow")
+
+    def _next_candidates(self, candidates: tuple[str, ...]) -> list[str]:
+        """Return the live candidates after this agent, then those before it."""
+        start = candidates.index(self.name) + 1 if self.name in candidates else 0
+        others = candidates[start:] + candidates[:start]
+        return [
+            name for name in others if name != self.name and self.group.find_agent(name)
+        ]
 
-    def _following(self, candidates: tuple[str, ...]) -> list[str]:
-        """Return the candidates after this agent, round to the ones before it."""
-        at = candidates.index(self.name) + 1 if self.name in candidates else 0
-        ring = candidates[at:] + candidates[:at]
-        return [name for name in ring if name != self.name and self.group.life(name)]
+    def _forward_to(self, routed: Routed, name: str) -> None:
+        """Send a packet to another agent; without a stream drop it.
 
-    def _send_on(self, routed: Routed, name: str) -> None:
-        """Send a packet to another agent; without a stream the ends repeat it."""
-        onward = Routed(
+        The fabric or the owner sends it again.
+        """
+        forwarded = Routed(
             routed.packet, routed.candidates, routed.hops + 1, routed.sender
         )
-        if name and self.send(name, onward):
-            self.counts.passed += 1
+        if name and self.send(name, forwarded):
+            self.counts.forwarded += 1
         else:
             self.counts.unreachable += 1
 
-    def _hint(self, routed: Routed, owner: str) -> None:
-        """Tell the balancer that sent a packet where the next ones should go."""
+    def _send_hint(self, routed: Routed, owner: str) -> None:
+        """Send the flow's owner to the balancer that the packet came from."""
         balancer = self.inbound.get(routed.sender)
         if balancer is not None:
             balancer.send(Hint(routed.packet.flow, owner))
 
-    def _refuse(self, packet: Packet, reason: str) -> None:
-        """Tell the fabric's end at once that nobody will carry its flow."""
+    def _send_reset(self, packet: Packet, reason: str) -> None:
+        """Reset a flow at its fabric, so that the client doesn't wait for a timeout.
+
+        A RESET is not answered.
+        """
         if packet.kind == Kind.RESET:
             return
         self.flows.transmit(
@@ -283,111 +310,119 @@
             )
         )
 
-    def _meet(self, peer: Peer, asked: Claim | Handoff) -> None:
-        if asked.service == self.settings.service and asked.home == peer.name:
-            self.group.meet(asked.home, asked.incarnation)
+    def _add_sender(self, peer: Peer, message: Claim | Handoff) -> None:
+        if message.service == self.settings.service and message.home == peer.name:
+            self.group.add_peer(message.home, message.incarnation)
 
     def _reply(self, peer: Peer, answer: ClaimAnswer | HandoffAnswer | None) -> None:
         if answer is None:
             peer.refused += 1
-            self.counts.foreign += 1
+            self.counts.wrong_service += 1
         else:
             peer.send(answer)
 
-    def _take_over(self, peer: Peer, handoff: Handoff) -> None:
-        if not self._is_ours(handoff.packet):
+    def _handle_handoff(self, peer: Peer, handoff: Handoff) -> None:
+        if not self._is_own_service(handoff.packet):
             self._reply(peer, None)
             return
-        answer = promises.answer_handoff(self.ownership, handoff)
+        answer = handlers.answer_handoff(self.ownership, handoff)
         if answer is not None and answer.accepted:
             self.homes[handoff.packet.flow] = handoff.home
         self._reply(peer, answer)
 
-    def _ended(self, flow: int) -> None:
-        """Tell a flow's home that it is over."""
+    def _flow_ended(self, flow: int) -> None:
+        """Record the end of a flow owned here, and report it to the flow's home."""
         home = self.homes.pop(flow, "")
-        self.ownership.directory.end(flow, self.me, self.clock())
+        self.ownership.directory.end_flow(flow, self.agent_id, self.clock())
         if home:
-            self.send(home, Owner(flow, "", self.me.incarnation))
+            self.send(home, Owner(flow, "", self.agent_id.incarnation))
 
-    async def watch(self) -> None:
-        """Note who is gone, and tell the peers of the load, as long as it runs."""
+    async def run(self) -> None:
+        """Call ``check_group`` periodically until cancelled."""
         while True:
-            self.look()
-            await asyncio.sleep(LOOK_SECONDS)
-
-    def look(self) -> None:
-        """Take in what has changed since the last look."""
-        for life in self.group.refresh():
-            self.questions.lost(life.name)
-            self.ownership.loads.forget(life.name)
-            seconds = DOUBT_SECONDS if self._hears(life.name) else 0.0
-            self.doubted.append((self.clock() + seconds, life))
-            self._find_new_homes(life.name)
-        self._give_up_doubted()
-        self.ownership.directory.expire(self.clock())
-        self._tell_load()
+            self.check_group()
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
-    def _give_up_doubted(self) -> None:
-        """Take the lives for ended that have not spoken for themselves in time.
+    def check_group(self) -> None:
+        """Remove ended incarnations, expire directory entries, send the load if due.
 
-        An agent that was only slow is taken for gone as a dead one is, and goes on
-        under a new incarnation. Its flows reset at once would be cut although their
-        owner lives, as an open stream from it shows; given time, it registers them
-        anew. Without such a stream nothing speaks against its death.
+        Failure detection may remove an agent that is only slow; the agent then
+        continues under a new incarnation. If a stream to or from it is still open, it
+        is probably alive. So its flows are kept for ``REMOVAL_DELAY_SECONDS``, in which
+        it can register them again; recording them as ended at once would break flows
+        that it still serves. Without an open stream it is removed at once.
         """
-        now = self.clock()
-        due = [life for until, life in self.doubted if until <= now]
-        self.doubted = [each for each in self.doubted if each[0] > now]
-        for life in due:
-            promises.peer_gone(self.ownership, life.name, life.incarnation)
+        for ended in self.group.refresh():
+            self.calls.fail_calls_to(ended.name)
+            self.ownership.loads.remove(ended.name)
+            delay = REMOVAL_DELAY_SECONDS if self._has_stream(ended.name) else 0.0
+            self.pending_removals.append((self.clock() + delay, ended))
+            self._move_to_next_homes(ended.name)
+        self._remove_ended()
+        self.ownership.directory.expire(self.clock())
+        self._send_load()
 
-    def _hears(self, name: str) -> bool:
-        """Whether a stream from another agent is open."""
+    def _remove_ended(self) -> None:
+        """Remove the incarnations whose removal delay has passed."""
+        now = self.clock()
+        due = [agent for remove_at, agent in self.pending_removals if remove_at <= now]
+        self.pending_removals = [
+            entry for entry in self.pending_removals if entry[0] > now
+        ]
+        for agent in due:
+            handlers.remove_incarnation(self.ownership, agent.name, agent.incarnation)
+
+    def _has_stream(self, name: str) -> bool:
+        """Whether a stream to or from another agent is open."""
         peer = self.agents.get(name) or self.inbound.get(name)
         return peer is not None and not peer.closed
 
-    def _tell_load(self) -> None:
-        if self.news.is_due(self.load(), self.clock()):
-            news = self.load_message()
-            self.news.note(news, self.clock())
-            for name in self.group.lives:
+    def _send_load(self) -> None:
+        if self.load_reporter.is_due(self.load(), self.clock()):
+            message = self.load_message()
+            self.load_reporter.mark_sent(message, self.clock())
+            for name in self.group.incarnations:
                 if name != self.name:
-                    self.send(name, news)
+                    self.send(name, message)
 
-    def _find_new_homes(self, gone: str) -> None:
-        """Register the flows owned here whose home is gone with their next home.
+    def _move_to_next_homes(self, gone: str) -> None:
+        """Register the flows owned here at their next home when a home is gone.
 
-        The directory has died with the home. Without an entry at the next one each
-        packet of these flows would be sent round the group until balancers learn.
+        The home's directory is lost with it. Without an entry at the next home, each
+        packet of these flows would be forwarded from candidate to candidate until the
+        balancers have learned the owner.
         """
         for flow, home in list(self.homes.items()):
             if home == gone:
-                self.homes[flow] = self._register(flow, self.me)
+                self.homes[flow] = self._register(flow, self.agent_id)
+
+    def _register(self, flow: int, owner: AgentId) -> str:
+        """Send a flow's owner to its next home.
 
-    def _register(self, flow: int, owner: Holder) -> str:
-        """Tell a flow's next home who owns it; return that home, "" if it is here."""
+        Returns:
+            The name of that home, "" if it is this agent or none can be reached.
+        """
         for name in self.group.ranked(flow):
             if name == self.name and not self.retired:
                 return ""
-            known = Owner(flow, owner.name, owner.incarnation)
-            if name != self.name and self.send(name, known):
+            message = Owner(flow, owner.name, owner.incarnation)
+            if name != self.name and self.send(name, message):
                 return name
         return ""
 
-    def renew(self, incarnation: int) -> None:
-        """Go on under a new incarnation, since the present one was taken for ended.
+    def change_incarnation(self, incarnation: int) -> None:
+        """Continue under a new incarnation, after others removed the present one.
 
-        Peers have noted the flows owned here as lost with the old life, so they are
-        told anew.
+        Peers have recorded the flows owned here as lost with the old incarnation, so
+        they are registered again.
         """
-        self.me = Holder(self.name, incarnation)
-        self.ownership.me = self.group.me = self.me
+        self.agent_id = AgentId(self.name, incarnation)
+        self.ownership.agent_id = self.group.agent_id = self.agent_id
         for flow in self.flows.owned:
-            self.homes[flow] = self._register(flow, self.me)
+            self.homes[flow] = self._register(flow, self.agent_id)
 
     def retire(self) -> None:
-        """Hand the directory over to the flows' next homes, and place nothing more."""
+        """Send the directory to the flows' next homes, and place no more flows."""
         self.retired = True
         for flow, entry in list(self.ownership.directory.owners.entries.items()):
             self._register(flow, entry.value)
--- a/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
@@ -19,10 +19,10 @@
 from cornelspan_control.profiles import Profile
 from cornelspan_ownership.placement import (
     UNMEASURED,
-    Loads,
+    LoadTable,
     OwnLoad,
     PeerLoad,
-    choose,
+    rank_targets,
 )
 from cornelspan_requests.admission import MIN_RETRY_AFTER_SECONDS
 from cornelspan_requests.backend import AnswerSink
@@ -57,11 +57,11 @@
 
     send: Callable[[str, Message], bool] = lambda name, message: False
     names: Callable[[], list[str]] = list
-    loads: Loads = field(default_factory=Loads)
+    loads: LoadTable = field(default_factory=LoadTable)
 
 
 def choose_destination(
-    own: OwnLoad | None, loads: Loads, names: list[str], tried: set[str], queue: int
+    own: OwnLoad | None, loads: LoadTable, names: list[str], tried: set[str], queue: int
 ) -> str | None:
     """Return where to run a request: an agent's name, ``LOCAL``, or None for nowhere.
 
@@ -79,11 +79,13 @@
         and name in loads.peers
         and loads.peers[name].load.waiting < max(1, queue)
     ]
-    ordered = choose(None if LOCAL in tried else own, loads, untried)
+    ordered = rank_targets(None if LOCAL in tried else own, loads, untried)
     return ordered[0] if ordered else None
 
 
-def urgent_loads(own: OwnLoad | None, loads: Loads) -> tuple[OwnLoad | None, Loads]:
+def urgent_loads(
+    own: OwnLoad | None, loads: LoadTable
+) -> tuple[OwnLoad | None, LoadTable]:
     """Return the loads that count for a request of the service's own priority.
 
     Such a request is served before all waiting requests whose callers asked for a lower
@@ -93,7 +95,7 @@
     if own is not None:
         own = replace(own, waiting=own.urgent)
     peers = {name: _urgent_load(peer) for name, peer in loads.peers.items()}
-    return own, Loads(peers)
+    return own, LoadTable(peers)
 
 
 def _urgent_load(peer: PeerLoad) -> PeerLoad:
@@ -257,9 +259,9 @@
         self.counts.moved += 1
         # Add the request to the peer's load until the peer's own report includes it.
         # Otherwise all requests of the same moment would go to the same idle peer.
-        self.peers.loads.sent(destination)
+        self.peers.loads.add_unanswered(destination)
         self.loop.call_later(
-            PENDING_LOAD_SECONDS, self.peers.loads.answered, destination
+            PENDING_LOAD_SECONDS, self.peers.loads.remove_unanswered, destination
         )
         return await self.handoffs.send(destination, request, sink)
 
--- a/tests/ownership_agents.py
+++ b/tests/ownership_agents.py
@@ -1,18 +1,18 @@
-"""Agents of the ownership model, and the questions that their coroutines wait for."""
+"""Agents of the ownership simulation, and the calls that their coroutines await."""
 
 from dataclasses import dataclass, field
 
-from cornelspan_ownership.directory import Directory, Holder
+from cornelspan_ownership.directory import AgentId, Directory
+from cornelspan_ownership.handlers import remove_incarnation
 from cornelspan_ownership.ownership import Ownership
 from cornelspan_ownership.placement import OwnLoad, load_message
-from cornelspan_ownership.promises import peer_gone
 
 SERVICE = "order-hub"
 
 
 @dataclass
-class Asking:
-    """Questions of one step of a coroutine; it goes on once all have an answer."""
+class PendingCall:
+    """One call to several peers; the coroutine continues when all have answered."""
 
     names: list
     message: object
@@ -24,70 +24,70 @@
 
 @dataclass
 class Agent:
-    """One life of an agent, as ``Group`` and ``Local`` for its own ``Ownership``."""
+    """One incarnation of an agent, also as ``PeerGroup`` and ``LocalAgent``."""
 
-    world: object
+    simulation: object
     name: str
     slots: int
     view: dict
-    settled: bool = True
+    stable: bool = True
     alive: bool = True
     owned: set = field(default_factory=set)
     gone: set = field(default_factory=set)
 
     def __post_init__(self):
         self.state = Ownership(
-            Holder(self.name, 1),
+            AgentId(self.name, 1),
             SERVICE,
             self,
             self,
-            self.ask,
-            lambda: self.world.now,
+            self.call_peers,
+            lambda: self.simulation.now,
             Directory(idle_seconds=1000.0),
         )
         for name in self.view:
-            busy = self.world.believed.get(name, 0)
+            busy = self.simulation.initial_loads.get(name, 0)
             self.state.loads.update(load_message(SERVICE, name, 1, OwnLoad(2, busy)))
 
-    async def ask(self, names, message):
-        asking = Asking(list(names), message)
-        return await asking
+    async def call_peers(self, names, message):
+        call = PendingCall(list(names), message)
+        return await call
 
     def ranked(self, flow):
-        return self.world.rank(flow, [*self.view, self.name])
+        return self.simulation.rank(flow, [*self.view, self.name])
 
-    def life(self, name):
-        return Holder(name, 1) if name in self.view else None
+    def find_agent(self, name):
+        return AgentId(name, 1) if name in self.view else None
 
     def is_gone(self, name, incarnation):
         return name in self.gone
 
-    def is_settled(self):
-        return self.world.trust_time or self.settled
+    def is_stable(self):
+        return self.simulation.always_stable or self.stable
 
     def outranks(self, flow, one, other):
-        return self.world.outranks(flow, one, other)
+        return self.simulation.outranks(flow, one, other)
 
     def owns(self, flow):
         return flow in self.owned
 
     def open(self, packet):
         self.owned.add(packet.flow)
-        self.world.accepted(self, packet.flow)
+        self.simulation.accepted(self, packet.flow)
 
     def load(self):
         return OwnLoad(self.slots, min(self.slots, len(self.owned)))
 
-    def learn(self, name):
-        """Hear of a new agent."""
+    def add_agent(self, name):
+        """Add a new agent to this agent's view."""
         if name not in self.view and name not in self.gone and name != self.name:
             self.view[name] = 1
-            self.settled = False
+            self.stable = False
             self.state.loads.update(load_message(SERVICE, name, 1, OwnLoad(2, 0)))
 
-    def lose(self, name):
-        """Hear that an agent is gone."""
+    def remove_agent(self, name):
+        """Remove an agent that is gone from this agent's view."""
         self.gone.add(name)
         if self.view.pop(name, None):
-            self.settled = False
-        peer_gone(self.state, name, 1)
+            self.stable = False
+        remove_incarnation(self.state, name, 1)
