--- a/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
@@ -23,9 +23,9 @@
 from cornelspan_control.members import Members
 
 LEAVE_SECONDS = 0.5
-SETTLE_SECONDS = 1.0
-JOIN_SECONDS = 10.0
-JOIN_STEP_SECONDS = 0.05
+JOIN_DELAY_SECONDS = 1.0
+JOIN_TIMEOUT_SECONDS = 10.0
+JOIN_POLL_SECONDS = 0.05
 
 log = get_log(__name__)
 
@@ -80,7 +80,7 @@
                     peer.refused += 1
 
     async def serve_agent(self, peer: Peer) -> None:
-        """Learn from one agent's hints until its stream ends."""
+        """Learn flow owners from one agent's hints until its stream ends."""
         async for batch in batches(peer):
             for message in batch:
                 match message:
@@ -90,11 +90,11 @@
                         peer.refused += 1
 
     async def serve_control(self, peer: Peer) -> None:
-        """Serve a process that follows this balancer for configuration and members."""
+        """Send configuration and membership to a process until its stream ends."""
         await self.control.serve(peer)
 
     def announcement(self) -> Announce:
-        """What this balancer says of itself."""
+        """Return the message that announces this balancer to other members."""
         listen = self.settings.listen
         return Announce(
             name=self.settings.name,
@@ -109,45 +109,49 @@
             leaving=self.leaving,
         )
 
-    def renew(self, incarnation: int) -> None:
-        """Begin a new life, since others took the present one for ended."""
+    def change_incarnation(self, incarnation: int) -> None:
+        """Continue under a new incarnation, after others removed the present one."""
         self.hello = msgspec.structs.replace(self.hello, incarnation=incarnation)
-        for holder in (self.fabrics, self.agents, self.server):
-            holder.hello = self.hello
+        for links in (self.fabrics, self.agents, self.server):
+            links.hello = self.hello
 
-    def link_agents(self) -> None:
-        """Keep a stream to each agent that is known."""
+    def connect_agents(self) -> None:
+        """Keep a stream to each known agent; drop others and their learned flows."""
         agents = [m for m in self.members.known.values() if m.role == "agent"]
         for agent in agents:
             self.agents.want(agent.name, Address(host=agent.host, port=agent.port))
         names = {agent.name for agent in agents}
-        for gone in set(self.agents.wanted) - names:
-            self.forwarder.learned.forget_owner(gone)
+        for name in set(self.agents.wanted) - names:
+            self.forwarder.learned.forget_owner(name)
         self.agents.keep_only(names)
 
     async def join(self) -> None:
-        """Open the streams to the fabrics once this balancer knows where to forward.
+        """Connect to the fabrics once this balancer is ready to forward packets.
 
-        One that knows only some agents names other homes than the rest do, and flows
-        opened there would be found by nobody else. After ``JOIN_SECONDS`` it joins all
-        the same: agents that can't be reached must not keep it out for ever.
+        A balancer that knows only some agents ranks candidates differently from the
+        others, which could not find the flows opened through it. After
+        ``JOIN_TIMEOUT_SECONDS`` it connects anyway, so that agents that can't be
+        reached don't keep it out of service.
         """
-        deadline = time.monotonic() + JOIN_SECONDS
-        await asyncio.sleep(SETTLE_SECONDS)
-        while time.monotonic() < deadline and not self.informed:
-            await asyncio.sleep(JOIN_STEP_SECONDS)
+        deadline = time.monotonic() + JOIN_TIMEOUT_SECONDS
+        await asyncio.sleep(JOIN_DELAY_SECONDS)
+        while time.monotonic() < deadline and not self.is_ready:
+            await asyncio.sleep(JOIN_POLL_SECONDS)
         for address in self.settings.fabrics:
             self.fabrics.want(str(address), address)
 
     @property
-    def informed(self) -> bool:
-        """Whether a configuration is in force and all known agents are linked."""
-        known = len(self.agents.wanted)
-        linked = known > 0 and len(self.agents.open) == known
-        return linked and self.configuration.revision > 0
+    def is_ready(self) -> bool:
+        """Whether a configuration is in force and all known agents are connected.
+
+        False while no agent is known.
+        """
+        wanted_count = len(self.agents.wanted)
+        all_connected = wanted_count > 0 and len(self.agents.open) == wanted_count
+        return all_connected and self.configuration.revision > 0
 
     async def leave(self) -> None:
-        """Stop in order: have the fabrics spray elsewhere, then forward the rest."""
+        """Tell the fabrics to use other balancers, and forward what still arrives."""
         self.leaving = True
         self.control.announce()
         for peer in self.fabrics.open.values():
@@ -156,7 +160,7 @@
         self.control.leave()
 
     def register(self, metrics: Metrics) -> None:
-        """Offer what is counted here as metrics."""
+        """Register this balancer's metrics."""
         counts = self.forwarder.counts
         metrics.count("forwarded", "Packets forwarded", lambda: counts.forwarded)
         metrics.count("no_service", "Unknown address", lambda: counts.no_service)
@@ -180,9 +184,10 @@
 
     Args:
         settings: The balancer's settings.
-        configuration: What is in force; kept current here.
-        members: The members known; kept current here.
-        tls: Contexts of streams and store; off by default, and for fabrics always.
+        configuration: The configuration in force; the balancer keeps it current.
+        members: The known members; the balancer keeps them current.
+        tls: TLS contexts of streams and store, off by default. Streams to fabrics never
+            use TLS.
     """
     async with task_group() as tasks:
         state = Balancer(settings, configuration, members, tasks, tls)
@@ -193,8 +198,8 @@
                 members,
                 hello=state.hello,
                 announcement=state.announcement,
-                on_new_incarnation=state.renew,
-                on_members=state.link_agents,
+                on_new_incarnation=state.change_incarnation,
+                on_members=state.connect_agents,
                 tls=tls.client,
             ) as state.control,
             serve_peers(
@@ -205,7 +210,7 @@
                 tls=tls.server,
             ) as state.server,
         ):
-            state.control.plane.collect_counts = state.levels.take
+            state.control.plane.collect_counts = state.levels.add_counts
             tasks.start(state.levels.run(state.control.plane), name="service levels")
             tasks.start(state.join(), name="join the fabrics")
             tasks.start(reload_tls(tls), name="reload TLS files")
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/flows.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/flows.py
@@ -1,4 +1,4 @@
-"""Flows that this agent owns, from their open to their end."""
+"""The flows that this agent owns, from OPEN until their channels are removed."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -18,43 +18,44 @@
 
 @dataclass
 class FlowCounts:
-    """Flows by what became of them."""
+    """Counts of flows by outcome."""
 
     opened: int = 0
     finished: int = 0
     reset: int = 0
     idle: int = 0
-    refused: int = 0
+    rejected: int = 0
 
 
 class Flows:
-    """The owned flows, and the ended ones that may still have to answer.
+    """Channels of the owned flows, and of flows that ended recently.
 
-    ``serve`` carries one flow to the backend server; it returns when the flow is over.
-    ``began`` is called with a flow's channel at its open, ``forgotten`` when an ended
-    flow has no more to answer.
+    ``agent_name`` is sent to the fabric when a flow is accepted; ``transmit`` sends a
+    packet to its fabric. ``serve`` connects one flow to the backend server and returns
+    when the flow is over. ``on_opened`` is called with the channel of each new flow,
+    ``on_removed`` with the id of an ended flow when its channel is removed.
     """
 
     def __init__(
-        self, name: str, tasks: Tasks, transmit: Transmit, serve: Serve
+        self, agent_name: str, tasks: Tasks, transmit: Transmit, serve: Serve
     ) -> None:
-        self.name = name
+        self.agent_name = agent_name
         self.tasks = tasks
         self.transmit = transmit
         self.serve = serve
         self.owned: dict[int, Channel] = {}
         self.ended: dict[int, Channel] = {}
         self.counts = FlowCounts()
-        self.began: Callable[[Channel], None] = lambda channel: None
-        self.forgotten: Callable[[int], None] = lambda flow: None
+        self.on_opened: Callable[[Channel], None] = lambda channel: None
+        self.on_removed: Callable[[int], None] = lambda flow: None
         self.loop = asyncio.get_running_loop()
 
     def find(self, flow: int) -> Channel | None:
-        """Return a flow's channel, also for a while after its end."""
+        """Return a flow's channel, until ``LINGER_SECONDS`` after the flow's end."""
         return self.owned.get(flow) or self.ended.get(flow)
 
     def open(self, packet: Packet) -> None:
-        """Become the owner of a new flow and accept it."""
+        """Create the channel of a new flow, accept the flow and start to serve it."""
         channel = Channel(
             packet.flow,
             packet.address,
@@ -64,8 +65,8 @@
         )
         self.owned[packet.flow] = channel
         self.counts.opened += 1
-        self.began(channel)
-        channel.accept(self.name)
+        self.on_opened(channel)
+        channel.accept(self.agent_name)
         self.tasks.start(self._run(channel), name=f"flow {packet.flow:016x}")
 
     async def _run(self, channel: Channel) -> None:
@@ -76,22 +77,22 @@
             self._end(channel)
 
     def _end(self, channel: Channel) -> None:
-        """Keep the channel a while: the fabric may have missed our last answer."""
+        """Keep the channel to repeat the last packet if the fabric lost it."""
         if channel.error is None:
             self.counts.finished += 1
         else:
             self.counts.reset += 1
         del self.owned[channel.flow]
         self.ended[channel.flow] = channel
-        self.loop.call_later(LINGER_SECONDS, self._forget, channel)
+        self.loop.call_later(LINGER_SECONDS, self._remove, channel)
 
-    def _forget(self, channel: Channel) -> None:
+    def _remove(self, channel: Channel) -> None:
         channel.stop()
         self.ended.pop(channel.flow, None)
-        self.forgotten(channel.flow)
+        self.on_removed(channel.flow)
 
     async def sweep(self, idle_seconds: Callable[[], float]) -> None:
-        """Reset flows that have been silent for longer than their profile allows."""
+        """Reset flows that have received no data for ``idle_seconds()``."""
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
             oldest = self.loop.time() - idle_seconds()
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
@@ -1,18 +1,21 @@
-"""One owner for each flow: how the agents of a service agree on it.
+"""Agreement between the agents of a service on one owner for each flow.
 
-The first candidate of a new flow is its home and places it, here or at a peer. Two
-agents can take themselves for the home of one flow when the membership changes or is
-known differently in two places. So a home that can't rule this out *claims* the flow
-first: each other candidate answers what it knows and remembers the claim.
+The first candidate of a new flow is its home. The home places the flow: it becomes the
+owner itself or hands the flow off to a peer. While the membership changes, or is known
+differently by two agents, both can act as home of one flow. A home that can't rule
+this out *claims* the flow first: every other candidate replies with the owner or home
+that it knows, and otherwise records the claim.
 
-    ownership = Ownership(me, "order-hub", group, local, ask)
-    match await ownership.open(packet, candidates):
-        case At(owner):
+    ownership = Ownership(
+        agent_id, "order-hub", group, local, call_peers, clock, directory
+    )
+    match await ownership.open(packet, candidates, hops):
+        case OwnedBy(owner):
             ...
 
-What an answer promises makes the safeguard enough: an agent that has answered "not
-here" places the flow no more by itself, and one that has begun to place it never
-yields. Of two homes that ask each other at most one therefore places.
+Two homes can't both place a flow: an agent that has recorded a claim no longer places
+the flow on its own, and an agent that has begun to place it never grants a claim. So
+of two homes that claim the flow from each other at most one places it.
 """
 
 from collections.abc import Callable, Sequence
@@ -22,39 +25,43 @@
 
 from cornelspan_common.ownership import Claim, ClaimAnswer, Handoff, HandoffAnswer
 from cornelspan_common.packets import Packet
-from cornelspan_ownership.directory import Directory, Holder, Records
-from cornelspan_ownership.group import (
-    Answered,
-    Ask,
-    AskError,
-    At,
-    Group,
-    Local,
-    Opened,
-    PassOn,
-    Refused,
-    Wait,
+from cornelspan_ownership.directory import AgentId, Directory, FlowAgents
+from cornelspan_ownership.interfaces import (
+    AnswerResult,
+    CallError,
+    CallPeers,
+    ForwardTo,
+    LocalAgent,
+    OpenResult,
+    OwnedBy,
+    PeerGroup,
+    Rejected,
+    RetryLater,
 )
 from cornelspan_ownership.placement import (
-    HANDOFF_TRIES,
+    HANDOFF_ATTEMPTS,
     NO_LIMIT,
-    Loads,
+    LoadTable,
     busy_limit,
-    choose,
     load_message,
+    rank_targets,
 )
 
-OPEN_HOPS = 6
-PLACING_STEPS = 16
-STRANGERS = 1000
-STRANGER_SECONDS = 1.0
-LOST = Refused("owner lost")
-UNSURE_SECONDS = 60.0
+MAX_HOPS_TO_HOME = 6
+MAX_PLACEMENT_STEPS = 16
+MAX_UNKNOWN_AGENTS = 1000
+UNKNOWN_AGENT_SECONDS = 1.0
+OWNER_LOST = Rejected("owner lost")
+UNANSWERED_HANDOFF_SECONDS = 60.0
 
 
 @dataclass(slots=True)
-class Pending:
-    """An open under way here."""
+class PendingOpen:
+    """An OPEN that is being handled here.
+
+    ``placing`` is set once no claim is needed or all claims were granted; ``target`` is
+    the peer that the flow is being handed off to, "" before one is chosen.
+    """
 
     placing: bool = False
     target: str = ""
@@ -62,319 +69,354 @@
 
 @dataclass
 class OwnershipCounts:
-    """Opens by how they were decided."""
+    """Counts of OPENs by outcome, and of hand-offs that peers rejected."""
 
     kept: int = 0
     handed_off: int = 0
     claimed: int = 0
     yielded: int = 0
-    refusals: int = 0
-    waits: int = 0
+    rejected_handoffs: int = 0
+    deferred: int = 0
 
 
 @dataclass
 class Ownership:
-    """What one agent knows and has promised about the flows of its service.
+    """One agent's state of flow ownership, and the handling of OPENs.
 
-    ``unsure`` holds the targets of hand-offs that no answer came to: they may own the
-    flow, so nobody else is asked until they answer or are gone.
+    ``unanswered_handoffs`` has the targets of hand-offs without an answer. A target may
+    own the flow, so no other agent is tried until it answers or is gone.
+    ``unknown_since`` has when a candidate that this agent doesn't know was first seen,
+    in seconds of the clock.
     """
 
-    me: Holder
+    agent_id: AgentId
     service: str
-    group: Group
-    local: Local
-    ask: Ask
+    group: PeerGroup
+    local: LocalAgent
+    call_peers: CallPeers
     clock: Callable[[], float]
     directory: Directory
-    loads: Loads = field(default_factory=Loads)
-    pending: dict[int, Pending] = field(default_factory=dict)
-    strange_since: dict[str, float] = field(default_factory=dict)
-    questions: int = 0
+    loads: LoadTable = field(default_factory=LoadTable)
+    pending: dict[int, PendingOpen] = field(default_factory=dict)
+    unknown_since: dict[str, float] = field(default_factory=dict)
+    last_call_id: int = 0
     counts: OwnershipCounts = field(default_factory=OwnershipCounts)
-    unsure: Records = field(
-        default_factory=lambda: Records(idle_seconds=UNSURE_SECONDS)
+    unanswered_handoffs: FlowAgents = field(
+        default_factory=lambda: FlowAgents(idle_seconds=UNANSWERED_HANDOFF_SECONDS)
     )
 
-    def locate(self, flow: int) -> Opened | None:
-        """Return what is known here of a flow, None if nothing."""
+    def locate(self, flow: int) -> OpenResult | None:
+        """Return the result for a flow by local knowledge, None if it is unknown."""
         if self.local.owns(flow):
-            return At(self.me.name)
+            return OwnedBy(self.agent_id.name)
         now = self.clock()
         ended = self.directory.ended.get(flow, now)
         if ended is not None:
-            return Wait("flow has ended") if ended.name in ("", self.me.name) else LOST
+            return (
+                RetryLater("flow has ended")
+                if ended.name in ("", self.agent_id.name)
+                else OWNER_LOST
+            )
         owner = self.directory.owners.get(flow, now)
         if owner is not None:
-            return At(owner.name)
+            return OwnedBy(owner.name)
         home = self.directory.homes.get(flow, now)
-        return PassOn(home.name) if home is not None else None
+        return ForwardTo(home.name) if home is not None else None
 
-    async def open(self, packet: Packet, listed: Sequence[str], hops: int) -> Opened:
-        """Find or become the home of a flow, and place it.
+    async def open(
+        self, packet: Packet, candidates: Sequence[str], hops: int
+    ) -> OpenResult:
+        """Handle an OPEN: return the owner or home, or place the flow as its home.
 
         Args:
             packet: The OPEN.
-            listed: Candidates as the balancer that sent it ranks them.
-            hops: Agents that have passed the packet on.
+            candidates: The candidates as ranked by the balancer that sent the packet.
+            hops: How many agents have forwarded the packet.
         """
-        if hops >= OPEN_HOPS:
-            listed = self._break_circle(packet.flow, listed)
+        if hops >= MAX_HOPS_TO_HOME:
+            candidates = self._break_loop(packet.flow, candidates)
         known = self.locate(packet.flow)
         if known is not None:
             return known
         if packet.flow in self.pending:
-            return Wait("open under way")
-        pending = self.pending[packet.flow] = Pending()
+            return RetryLater("open under way")
+        pending = self.pending[packet.flow] = PendingOpen()
         try:
-            opened = await self._open(packet, listed, pending)
+            opened = await self._open(packet, candidates, pending)
         finally:
             del self.pending[packet.flow]
-        if isinstance(opened, Wait):
-            self.counts.waits += 1
+        if isinstance(opened, RetryLater):
+            self.counts.deferred += 1
         return opened
 
     async def _open(
-        self, packet: Packet, listed: Sequence[str], pending: Pending
-    ) -> Opened:
-        if self._must_claim(packet.flow, listed):
+        self, packet: Packet, candidates: Sequence[str], pending: PendingOpen
+    ) -> OpenResult:
+        if self._must_claim(packet.flow, candidates):
             self.counts.claimed += 1
-            found = await self._claim(packet.flow, self._others(packet.flow, listed))
-            # While the answers were on their way this agent may have yielded, taken a
-            # hand-off, or been told of an owner: that comes first.
+            found = await self._claim(
+                packet.flow, self._other_candidates(packet.flow, candidates)
+            )
+            # While it waited for the answers, this agent may have recorded another
+            # home's claim, accepted a hand-off or received an ``Owner`` message. These
+            # take precedence over the result of the claim.
             found = self.locate(packet.flow) or found
             if found is not None:
                 return found
         pending.placing = True
         return await self._place(packet, pending)
 
-    def _break_circle(self, flow: int, listed: Sequence[str]) -> Sequence[str]:
-        """Forget the recorded home of a flow, and have it asked once more.
+    def _break_loop(self, flow: int, candidates: Sequence[str]) -> Sequence[str]:
+        """Drop the recorded home of a flow, so that this agent claims the flow again.
 
-        Two agents that each yielded to the other, one after a claim that came to
-        nothing, pass an open to and fro. To claim anew is safe, since the other is
-        asked and says so if it is placing.
+        If two agents each recorded the other as home, one of them after its own claim
+        failed, they forward an OPEN to each other without end. A new claim is safe: the
+        other agent is asked too, and names itself as home if it is placing the flow.
 
         Returns:
-            Whom to ask; in an order that calls for a claim.
+            The candidates to ask, in an order that makes a claim necessary.
         """
         home = self.directory.homes.get(flow, self.clock())
         self.directory.homes.drop(flow)
-        return (*listed, home.name if home else self.me.name)
+        return (*candidates, home.name if home else self.agent_id.name)
 
-    def _must_claim(self, flow: int, listed: Sequence[str]) -> bool:
-        """Whether another agent may take itself for the home of this flow.
+    def _must_claim(self, flow: int, candidates: Sequence[str]) -> bool:
+        """Whether another agent may act as home of this flow too.
 
-        A time after each change alone is not enough, since updates reach balancers
-        late, for minutes while the store is down: the sender's list has to be the same
-        as this agent's own, with this agent first.
+        Waiting for some time after each change of the group is not enough: while the
+        store is down, updates reach balancers minutes late. So the sender's candidates
+        must also equal this agent's own, with this agent first. A flow with an
+        unanswered hand-off needs no claim, since its placement has already begun.
         """
-        if self.unsure.get(flow, self.clock()) is not None:
+        if self.unanswered_handoffs.get(flow, self.clock()) is not None:
             return False
         ranked = self.group.ranked(flow)
-        first = bool(ranked) and ranked[0] == self.me.name
-        return not (first and tuple(listed) == ranked and self.group.is_settled())
+        first = bool(ranked) and ranked[0] == self.agent_id.name
+        return not (first and tuple(candidates) == ranked and self.group.is_stable())
+
+    async def _claim(self, flow: int, names: list[str]) -> OpenResult | None:
+        """Claim a flow from agents and from the homes that they name.
 
-    async def _claim(self, flow: int, names: list[str]) -> Opened | None:
-        """Ask agents, and the homes that they name; None if the claim stands with all.
+        A home named in an answer is asked as well: it may have yielded since, which
+        only it knows. Names that have been unknown for ``UNKNOWN_AGENT_SECONDS`` are
+        skipped.
 
-        Only a home itself knows whether it still is: others may have recorded a claim
-        that has since yielded.
+        Returns:
+            None if all have recorded the claim. Otherwise the result of the OPEN: an
+            owner or another home was named, or an agent is unknown or didn't answer.
         """
-        if strange := self._strangers(names):
-            return Wait(f"{strange[0]} is not known here yet")
+        if unknown_names := self._recently_unknown(names):
+            return RetryLater(f"{unknown_names[0]} is not known here yet")
         asked: set[str] = set()
-        asking = [name for name in names if self.group.life(name)]
-        while asking:
-            answers = await self.ask(asking, self._claim_message(flow))
-            asked.update(asking)
-            match self._weigh(flow, asking, answers):
-                case Ok(pointers):
-                    asking = [n for n in dict.fromkeys(pointers) if n not in asked]
-                case Err(opened):
-                    return opened
+        to_ask = [name for name in names if self.group.find_agent(name)]
+        while to_ask:
+            answers = await self.call_peers(to_ask, self._new_claim(flow))
+            asked.update(to_ask)
+            match self._evaluate_answers(flow, to_ask, answers):
+                case Ok(named_homes):
+                    to_ask = [n for n in dict.fromkeys(named_homes) if n not in asked]
+                case Err(result):
+                    return result
         return None
 
-    def _strangers(self, names: list[str]) -> list[str]:
-        """Return names that this agent has not heard of, but may in a moment.
+    def _recently_unknown(self, names: list[str]) -> list[str]:
+        """Return the unknown agents that may still be announced here.
 
-        A balancer may know a new agent before this one does. A name that stays unknown
-        is of one that was gone before this agent began; waiting on would hold up every
-        flow while an old view lasts.
+        A balancer may know a new agent before this agent does. A name that stays
+        unknown for ``UNKNOWN_AGENT_SECONDS`` belongs to an agent that was gone before
+        this one started; waiting longer would delay every OPEN from a balancer with
+        an outdated membership.
         """
         now = self.clock()
-        unknown = [name for name in names if self.group.life(name) is None]
-        if len(self.strange_since) > STRANGERS:
-            self.strange_since.clear()
+        unknown = [name for name in names if self.group.find_agent(name) is None]
+        if len(self.unknown_since) > MAX_UNKNOWN_AGENTS:
+            self.unknown_since.clear()
         return [
             name
             for name in unknown
-            if now - self.strange_since.setdefault(name, now) < STRANGER_SECONDS
+            if now - self.unknown_since.setdefault(name, now) < UNKNOWN_AGENT_SECONDS
         ]
 
-    def _weigh(
-        self, flow: int, asked: Sequence[str], answers: list[Answered]
-    ) -> Result[list[str], Opened]:
-        """Read answers to a claim.
+    def _evaluate_answers(
+        self, flow: int, asked: Sequence[str], answers: list[AnswerResult]
+    ) -> Result[list[str], OpenResult]:
+        """Evaluate the answers to a claim.
 
         Returns:
-            Other homes that have to be asked, or what ends the claim.
+            Other homes that have to be asked, or else the result of the OPEN.
         """
-        pointers: list[str] = []
-        silent: Opened | None = None
+        named_homes: list[str] = []
+        unanswered: OpenResult | None = None
         for name, answer in zip(asked, answers, strict=True):
             match answer:
                 case Ok(ClaimAnswer(owner=owner) as found) if owner:
-                    return Err(self._owned_by(flow, found))
+                    return Err(self._owner_from_answer(flow, found))
                 case Ok(ClaimAnswer(home=home) as found) if home == name:
-                    return Err(self._home_is(flow, found))
-                case Ok(ClaimAnswer(home=home, home_incarnation=life)) if home:
-                    if self._is_over(home, life):
+                    return Err(self._yield_to_home(flow, found))
+                case Ok(ClaimAnswer(home=home, home_incarnation=incarnation)) if home:
+                    if self._has_ended(home, incarnation):
                         continue
-                    if self.group.life(home) is None:
-                        return Err(PassOn(name))
-                    pointers.append(home)
-                case Err(AskError(gone=False)):
-                    silent = Wait(f"no answer from {name}")
-        return Err(silent) if silent is not None else Ok(pointers)
-
-    def _owned_by(self, flow: int, answer: ClaimAnswer) -> Opened:
+                    if self.group.find_agent(home) is None:
+                        return Err(ForwardTo(name))
+                    named_homes.append(home)
+                case Err(CallError(gone=False)):
+                    unanswered = RetryLater(f"no answer from {name}")
+        return Err(unanswered) if unanswered is not None else Ok(named_homes)
+
+    def _owner_from_answer(self, flow: int, answer: ClaimAnswer) -> OpenResult:
+        """Record the owner that an answer names; reject the flow if it is gone."""
         if self.group.is_gone(answer.owner, answer.owner_incarnation):
-            return LOST
-        owner = Holder(answer.owner, answer.owner_incarnation)
-        if owner == self.me:
-            return self.locate(flow) or Wait("flow has ended")
+            return OWNER_LOST
+        owner = AgentId(answer.owner, answer.owner_incarnation)
+        if owner == self.agent_id:
+            return self.locate(flow) or RetryLater("flow has ended")
         self.directory.owners.put(flow, owner, self.clock())
-        return At(owner.name)
+        return OwnedBy(owner.name)
 
-    def _home_is(self, flow: int, answer: ClaimAnswer) -> Opened:
-        home = Holder(answer.home, answer.home_incarnation)
+    def _yield_to_home(self, flow: int, answer: ClaimAnswer) -> OpenResult:
+        """Record the agent that keeps its claim as home, and forward the OPEN to it."""
+        home = AgentId(answer.home, answer.home_incarnation)
         self.directory.homes.put(flow, home, self.clock())
         self.counts.yielded += 1
-        return PassOn(home.name)
-
-    def _others(self, flow: int, listed: Sequence[str]) -> list[str]:
-        """Return the candidates of both views but this agent and those gone."""
-        names = dict.fromkeys([*listed, *self.group.ranked(flow)])
-        names.pop(self.me.name, None)
-        return [name for name in names if not self._is_over(name, 0)]
-
-    def _is_over(self, name: str, incarnation: int) -> bool:
-        """Whether a life has ended, or with 0 the last one known of a name."""
-        life = self.group.life(name)
-        if life is not None:
-            return incarnation != 0 and life.incarnation > incarnation
+        return ForwardTo(home.name)
+
+    def _other_candidates(self, flow: int, candidates: Sequence[str]) -> list[str]:
+        """Return the live candidates of both lists, without this agent."""
+        names = dict.fromkeys([*candidates, *self.group.ranked(flow)])
+        names.pop(self.agent_id.name, None)
+        return [name for name in names if not self._has_ended(name, 0)]
+
+    def _has_ended(self, name: str, incarnation: int) -> bool:
+        """Whether an incarnation has ended; 0 stands for the newest known one.
+
+        Unlike ``group.is_gone``, this is false with 0 for an agent that has come back.
+        """
+        agent = self.group.find_agent(name)
+        if agent is not None:
+            return incarnation != 0 and agent.incarnation > incarnation
         return self.group.is_gone(name, incarnation)
 
-    async def _place(self, packet: Packet, pending: Pending) -> Opened:
-        """Keep the flow or hand it off, until someone has it for sure."""
-        tries = HANDOFF_TRIES
+    async def _place(self, packet: Packet, pending: PendingOpen) -> OpenResult:
+        """Keep the flow or hand it off, trying targets until one accepts it."""
+        attempts_left = HANDOFF_ATTEMPTS
         yielded = ""
-        lost: set[str] = set()
-        for _ in range(PLACING_STEPS):
-            target = self._target(packet.flow, lost)
+        excluded: set[str] = set()
+        for _ in range(MAX_PLACEMENT_STEPS):
+            target = self._choose_target(packet.flow, excluded)
             if target is None:
-                return self._nobody_takes_it()
+                return self._no_target()
             if target == "":
                 self.counts.kept += 1
                 self.local.open(packet)
-                return At(self.me.name)
+                return OwnedBy(self.agent_id.name)
             pending.target = target
-            match await self._hand_off(packet, target, tries, yielded):
+            match await self._hand_off(packet, target, attempts_left, yielded):
                 case Ok(HandoffAnswer(accepted=True)):
-                    return self._handed_to(packet.flow, target)
+                    return self._record_handoff(packet.flow, target)
                 case Ok(HandoffAnswer(home=home) as answer) if home:
-                    settled = await self._settle(packet.flow, answer)
-                    if settled is not None:
-                        return settled
+                    result = await self._claim_from_home(packet.flow, answer)
+                    if result is not None:
+                        return result
                     yielded = home
                 case Ok(HandoffAnswer(load=load)):
-                    self.counts.refusals += 1
-                    tries -= 1
-                    if load.slots == 0 or tries < 0:
-                        lost.add(target)
-                case Err(AskError(gone=True)):
-                    lost.add(target)
+                    self.counts.rejected_handoffs += 1
+                    attempts_left -= 1
+                    if load.slots == 0 or attempts_left < 0:
+                        excluded.add(target)
+                case Err(CallError(gone=True)):
+                    excluded.add(target)
                 case Err():
-                    return Wait(f"no answer from {target}")
-        return Wait("refused too often")
+                    return RetryLater(f"no answer from {target}")
+        return RetryLater("refused too often")
 
-    def _nobody_takes_it(self) -> Opened:
-        """Refuse a flow that nobody can take, unless someone may in a moment.
+    def _no_target(self) -> OpenResult:
+        """Reject a flow that no agent can take, or defer it while the group changes.
 
-        In a rolling restart the last agent leaves while its successors have told no
-        load yet. Refused, the caller would see a broken flow; its open is repeated
-        for about 12 s anyway, and a group that has settled refuses at once.
+        In a rolling restart the last old agent leaves before the new agents have sent
+        their load. Rejecting the flow then would break it for the client, although the
+        fabric retries the OPEN for about 12 s. A stable group rejects at once.
         """
-        if self.group.is_settled():
-            return Refused("no endpoint takes new flows")
-        return Wait("no endpoint has told that it takes new flows")
-
-    def _target(self, flow: int, lost: set[str]) -> str | None:
-        """Return whom to place a flow at, "" for here, None if nobody can take it."""
-        unsure = self.unsure.get(flow, self.clock())
-        if unsure is not None:
-            if not self._is_over(unsure.name, unsure.incarnation):
-                return unsure.name
-            self.unsure.drop(flow)
+        if self.group.is_stable():
+            return Rejected("no endpoint takes new flows")
+        return RetryLater("no endpoint has told that it takes new flows")
+
+    def _choose_target(self, flow: int, excluded: set[str]) -> str | None:
+        """Return the agent to place a flow on, "" for this one, None for no agent."""
+        unanswered = self.unanswered_handoffs.get(flow, self.clock())
+        if unanswered is not None:
+            if not self._has_ended(unanswered.name, unanswered.incarnation):
+                return unanswered.name
+            self.unanswered_handoffs.drop(flow)
         peers = [
             name
             for name in self.group.ranked(flow)
-            if name != self.me.name and name not in lost and self.group.life(name)
+            if name != self.agent_id.name
+            and name not in excluded
+            and self.group.find_agent(name)
         ]
-        ordered = choose(self.local.load(), self.loads, peers)
+        ordered = rank_targets(self.local.load(), self.loads, peers)
         return ordered[0] if ordered else None
 
     async def _hand_off(
-        self, packet: Packet, target: str, tries: int, yielded: str
-    ) -> Answered:
-        """Ask a peer to own the flow; without an answer it stays the one to ask."""
+        self, packet: Packet, target: str, attempts_left: int, yielded: str
+    ) -> AnswerResult:
+        """Hand the flow off to a peer, which stays the only target until it answers."""
         flow = packet.flow
-        again = self.unsure.get(flow, self.clock()) is not None
-        limit = NO_LIMIT if again else busy_limit(self.loads, target, tries)
-        life = self.group.life(target) or Holder(target, 0)
-        self.unsure.put(flow, life, self.clock())
-        self.loads.sent(target)
-        message = self._handoff_message(packet, limit, yielded)
-        [answer] = await self.ask([target], message)
-        self.loads.answered(target)
+        is_retry = self.unanswered_handoffs.get(flow, self.clock()) is not None
+        limit = NO_LIMIT if is_retry else busy_limit(self.loads, target, attempts_left)
+        agent = self.group.find_agent(target) or AgentId(target, 0)
+        self.unanswered_handoffs.put(flow, agent, self.clock())
+        self.loads.add_unanswered(target)
+        message = self._new_handoff(packet, limit, yielded)
+        [answer] = await self.call_peers([target], message)
+        self.loads.remove_unanswered(target)
         match answer:
             case Ok(HandoffAnswer(load=load)):
                 self.loads.update(load)
-                self.unsure.drop(flow)
-            case Err(AskError(gone=True)):
-                self.unsure.drop(flow)
+                self.unanswered_handoffs.drop(flow)
+            case Err(CallError(gone=True)):
+                self.unanswered_handoffs.drop(flow)
         return answer
 
-    def _handed_to(self, flow: int, target: str) -> Opened:
+    def _record_handoff(self, flow: int, target: str) -> OpenResult:
         self.counts.handed_off += 1
-        life = self.group.life(target)
-        if life is not None:
-            self.directory.owners.put(flow, life, self.clock())
-        return At(target)
-
-    async def _settle(self, flow: int, refused: HandoffAnswer) -> Opened | None:
-        """Ask the home that a refusal names; None if it yields or is gone."""
-        home = refused.home
-        if self._is_over(home, refused.home_incarnation):
+        agent = self.group.find_agent(target)
+        if agent is not None:
+            self.directory.owners.put(flow, agent, self.clock())
+        return OwnedBy(target)
+
+    async def _claim_from_home(
+        self, flow: int, answer: HandoffAnswer
+    ) -> OpenResult | None:
+        """Claim the flow from the home that a peer named when it rejected a hand-off.
+
+        Returns:
+            None if that home yields or is gone, else the result of the OPEN.
+        """
+        home = answer.home
+        if self._has_ended(home, answer.home_incarnation):
             return None
         return await self._claim(flow, [home])
 
-    def _claim_message(self, flow: int) -> Claim:
-        self.questions += 1
-        me = self.me
-        return Claim(self.service, flow, me.name, me.incarnation, self.questions)
+    def _new_claim(self, flow: int) -> Claim:
+        self.last_call_id += 1
+        agent_id = self.agent_id
+        return Claim(
+            self.service, flow, agent_id.name, agent_id.incarnation, self.last_call_id
+        )
 
-    def _handoff_message(self, packet: Packet, limit: int, yielded: str) -> Handoff:
-        self.questions += 1
-        me = self.me
-        load = load_message(self.service, me.name, me.incarnation, self.local.load())
+    def _new_handoff(self, packet: Packet, limit: int, yielded: str) -> Handoff:
+        self.last_call_id += 1
+        agent_id = self.agent_id
+        load = load_message(
+            self.service, agent_id.name, agent_id.incarnation, self.local.load()
+        )
         return Handoff(
             self.service,
             packet,
-            me.name,
-            me.incarnation,
-            self.questions,
+            agent_id.name,
+            agent_id.incarnation,
+            self.last_call_id,
             yielded,
             limit,
             load,
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
@@ -1,4 +1,4 @@
-"""The agents of one service as one of them knows them, and questions between them."""
+"""The agents of one service as known to one of them, and calls between them."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -10,133 +10,154 @@
 from cornelspan_common.packets import Message
 from cornelspan_control.members import Members
 from cornelspan_control.ranking import Ranking
-from cornelspan_ownership.directory import Holder
-from cornelspan_ownership.group import Answer, Answered, AskError
+from cornelspan_ownership.directory import AgentId
+from cornelspan_ownership.interfaces import Answer, AnswerResult, CallError
 
-SETTLE_SECONDS = 15.0
-ASK_SECONDS = 0.5
+STABLE_SECONDS = 15.0
+CALL_TIMEOUT_SECONDS = 0.5
 
 
 class ServiceGroup:
-    """The service's agents: those announced, and those met on a stream before.
+    """The service's agents: announced ones, and ones that sent a message before that.
 
-    An open is repeated for about 12 s by the fabric's end, so for ``settle_seconds``
-    after a change one may come to a new home that an old home has placed already.
+    The fabric retries an OPEN for about 12 s. So for ``stable_seconds`` after a change
+    of the group a new home may receive an OPEN that an earlier home has placed already.
+    ``contacted`` has the incarnations known from messages, ``incarnations`` all of them
+    as of the last ``refresh``.
     """
 
     def __init__(
         self,
-        me: Holder,
+        agent_id: AgentId,
         service: str,
         members: Members,
         clock: Callable[[], float],
         *,
-        settle_seconds: float = SETTLE_SECONDS,
+        stable_seconds: float = STABLE_SECONDS,
     ) -> None:
-        self.me = me
+        self.agent_id = agent_id
         self.service = service
         self.members = members
         self.clock = clock
-        self.settle_seconds = settle_seconds
+        self.stable_seconds = stable_seconds
         self.ranking = Ranking(members)
-        self.met: dict[str, int] = {}
-        self.lives: dict[str, int] = {}
+        self.contacted: dict[str, int] = {}
+        self.incarnations: dict[str, int] = {}
         self.version = -1
         self.changed_at = clock()
 
     def ranked(self, flow: int) -> tuple[str, ...]:
-        """Return the candidates by this agent's own view."""
+        """Return the candidates of a flow by this agent's view, best first."""
         return self.ranking.candidates(self.service, flow).names
 
-    def life(self, name: str) -> Holder | None:
-        """Return the newest life known of a peer, None if it isn't known."""
+    def find_agent(self, name: str) -> AgentId | None:
+        """Return the newest known incarnation of a peer, None for an unknown one."""
         known = self.members.known.get(name)
         announced = known.incarnation if known and known.service == self.service else 0
-        life = max(announced, self.met.get(name, 0))
-        return Holder(name, life) if life else None
+        incarnation = max(announced, self.contacted.get(name, 0))
+        return AgentId(name, incarnation) if incarnation else None
 
     def is_gone(self, name: str, incarnation: int) -> bool:
-        """Whether a life has ended; with 0, whether any life of that name has."""
-        if name == self.me.name:
-            return incarnation < self.me.incarnation
+        """Whether an incarnation of an agent has ended.
+
+        With 0, whether any incarnation of that name has ended, even if a newer one is
+        alive; always true for this agent's own name.
+        """
+        if name == self.agent_id.name:
+            return incarnation < self.agent_id.incarnation
         if self.members.tombstones.get(name, -1) >= incarnation:
             return True
-        life = self.life(name)
-        return life is not None and 0 < incarnation < life.incarnation
+        agent = self.find_agent(name)
+        return agent is not None and 0 < incarnation < agent.incarnation
 
-    def is_settled(self) -> bool:
-        """Whether the group is the same for longer than an open is repeated."""
-        return self.clock() - self.changed_at >= self.settle_seconds
+    def is_stable(self) -> bool:
+        """Whether the group has not changed for longer than an OPEN is retried."""
+        return self.clock() - self.changed_at >= self.stable_seconds
 
     def outranks(self, flow: int, one: str, other: str) -> bool:
-        """Whether of two homes the first wins.
+        """Whether agent ``one`` takes precedence over ``other`` as home of a flow.
 
-        Configured weights are left out: two that tie need not know each other's.
+        Configured weights are ignored, because two agents may not know each other's
+        weight and would then get different results.
         """
         first = score(flow, name_seed(one), 1.0)
         return first > score(flow, name_seed(other), 1.0)
 
-    def meet(self, name: str, incarnation: int) -> None:
-        """Note a peer that speaks to us; it may not have been announced yet."""
-        life = self.life(name)
-        if self.is_gone(name, incarnation) or name == self.me.name:
+    def add_peer(self, name: str, incarnation: int) -> None:
+        """Record the sender of a message, which may not have been announced yet.
+
+        An incarnation that has ended is ignored.
+        """
+        agent = self.find_agent(name)
+        if self.is_gone(name, incarnation) or name == self.agent_id.name:
             return
-        if life is None or life.incarnation < incarnation:
-            self.met[name] = incarnation
+        if agent is None or agent.incarnation < incarnation:
+            self.contacted[name] = incarnation
             self.changed_at = self.clock()
 
-    def refresh(self) -> list[Holder]:
-        """Look at the members anew; return the lives that have ended since."""
-        if self.version == self.members.version and not self.met:
+    def refresh(self) -> list[AgentId]:
+        """Read the membership again; return the incarnations that have ended since."""
+        if self.version == self.members.version and not self.contacted:
             return []
         self.version = self.members.version
-        self.met = {n: i for n, i in self.met.items() if not self.is_gone(n, i)}
+        self.contacted = {
+            n: i for n, i in self.contacted.items() if not self.is_gone(n, i)
+        }
         agents = self.members.of_service(self.service)
-        names = {agent.name for agent in agents} | set(self.met)
-        lives = {name: self.life(name).incarnation for name in names}
-        ended = [Holder(n, i) for n, i in self.lives.items() if lives.get(n) != i]
-        if lives != self.lives:
+        names = {agent.name for agent in agents} | set(self.contacted)
+        incarnations = {name: self.find_agent(name).incarnation for name in names}
+        ended = [
+            AgentId(n, i)
+            for n, i in self.incarnations.items()
+            if incarnations.get(n) != i
+        ]
+        if incarnations != self.incarnations:
             self.changed_at = self.clock()
-        self.lives = lives
+        self.incarnations = incarnations
         return ended
 
 
-class Questions:
-    """Questions to peers that wait for an answer."""
+class PeerCalls:
+    """Requests to peers, matched with their answers by peer and request number."""
 
     def __init__(self, send: Callable[[str, Message], bool]) -> None:
         self.send = send
-        self.waiting: dict[tuple[str, int], asyncio.Future[Answered]] = {}
+        self.pending: dict[tuple[str, int], asyncio.Future[AnswerResult]] = {}
 
-    async def ask(
+    async def call(
         self, names: Sequence[str], message: Claim | Handoff
-    ) -> list[Answered]:
-        """Ask peers at the same time; one that is silent costs ``ASK_SECONDS``."""
+    ) -> list[AnswerResult]:
+        """Send a message to peers and wait for their answers.
+
+        Returns:
+            An answer for each name, or an error for a peer that can't be reached, is
+            gone or has not answered within ``CALL_TIMEOUT_SECONDS``.
+        """
         keys = [(name, message.question) for name in names]
         loop = asyncio.get_running_loop()
         futures = [loop.create_future() for _ in keys]
-        self.waiting.update(zip(keys, futures, strict=True))
+        self.pending.update(zip(keys, futures, strict=True))
         for name, future in zip(names, futures, strict=True):
             if not self.send(name, message):
-                future.set_result(Err(AskError(name, gone=False)))
+                future.set_result(Err(CallError(name, gone=False)))
         try:
-            await asyncio.wait(futures, timeout=ASK_SECONDS)
+            await asyncio.wait(futures, timeout=CALL_TIMEOUT_SECONDS)
         finally:
             for key in keys:
-                self.waiting.pop(key, None)
+                self.pending.pop(key, None)
         return [
-            future.result() if future.done() else Err(AskError(name, gone=False))
+            future.result() if future.done() else Err(CallError(name, gone=False))
             for name, future in zip(names, futures, strict=True)
         ]
 
-    def answered(self, name: str, answer: Answer) -> None:
-        """Take in a peer's answer; one that comes too late is left out."""
-        future = self.waiting.get((name, answer.question))
+    def handle_answer(self, name: str, answer: Answer) -> None:
+        """Complete the call that an answer belongs to; ignore a late answer."""
+        future = self.pending.get((name, answer.question))
         if future is not None and not future.done():
             future.set_result(Ok(answer))
 
-    def lost(self, name: str) -> None:
-        """End all questions to a peer that is gone."""
-        for (asked, _), future in list(self.waiting.items()):
-            if asked == name and not future.done():
-                future.set_result(Err(AskError(name, gone=True)))
+    def fail_calls_to(self, name: str) -> None:
+        """Fail all pending calls to a peer that is gone."""
+        for (callee, _), future in list(self.pending.items()):
+            if callee == name and not future.done():
+                future.set_result(Err(CallError(name, gone=True)))
