--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -287,7 +287,7 @@
             tasks.start(
                 state.flows.sweep(lambda: state.profile.idle_seconds), name="sweep"
             )
-            members.announce(state.announcement())
+            members.record(state.announcement())
             tasks.start(state.router.watch(), name="watch peers")
             counts = state.gateway.objectives
             reporting = report_counts(counts, settings, state.control.plane)
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
@@ -102,12 +102,12 @@
         """Check and seal in turn until cancelled, while this balancer is a relay."""
         while True:
             await asyncio.sleep(CHECK_SECONDS)
-            if not plane.is_relay and not plane.primary_datacentres():
+            if not plane.is_relay and not plane.datacentres_as_primary():
                 # The agents report to other relays now, with all that is not sealed.
                 self.collectors.clear()
                 continue
             changes = self.check(int(time.time()) // MINUTE_SECONDS)
-            if plane.primary_datacentres():
+            if plane.datacentres_as_primary():
                 # Both relays of a data centre find the same; the primary says so.
                 log_changes(changes, self.burns)
             for collector in list(self.collectors.values()):
--- a/packages/cornelspan-control/src/cornelspan_control/burn.py
+++ b/packages/cornelspan-control/src/cornelspan_control/burn.py
@@ -1,8 +1,8 @@
 """Burn rates: how fast services use the error budget of their objectives.
 
 A burn rate of 1 uses the whole budget in exactly the objective's window. An alert fires
-on a high rate over a long window, which shows that it is significant, and over a short
-window, which makes it clear soon after the failures stop. Source: Beyer and others,
+if the rate is high over a long window, so that short bursts don't count, and over a
+short window, so that it ends soon after the failures stop. Source: Beyer and others,
 "The Site Reliability Workbook" (2018), chapter 5, "Multiwindow, Multi-Burn-Rate
 Alerts"; 14.4 over an hour is 2 % of a 30-day budget, 1 over three days is 10 %.
 """
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AlertRule:
-    """An alert: the burn rate that both its windows must exceed."""
+    """An alert, which fires when the burn rate over both windows reaches ``rate``."""
 
     name: str
     short: Window
@@ -173,9 +173,10 @@
 def _is_firing(
     rule: AlertRule, rates: dict[str, float], totals: dict[str, Totals]
 ) -> bool:
-    """Whether an alert fires.
+    """Whether the burn rate over both windows of an alert reaches its rate.
 
-    It doesn't fire below a minimum of requests, where one failure would be enough.
+    An alert doesn't fire if its long window has fewer than ``MIN_ALERT_REQUESTS``
+    requests: with so few, a single failure would give a very high rate.
     """
     if totals[rule.long.name].requests < MIN_ALERT_REQUESTS:
         return False
--- a/packages/cornelspan-control/src/cornelspan_control/changes.py
+++ b/packages/cornelspan-control/src/cornelspan_control/changes.py
@@ -173,27 +173,27 @@
     Returns:
         The accepted change, or why it was not accepted.
     """
-    attempt = _ChangeAttempt(client, change, min_version=change.min_version)
+    progress = _ChangeProgress(client, change, min_version=change.min_version)
     backoff = BACKOFF_SECONDS
     deadline = time.monotonic() + timeout_seconds
     while True:
-        outcome = await attempt.run()
+        outcome = await progress.run()
         if outcome is not None:
             return outcome
         if time.monotonic() + backoff > deadline:
-            return Err(attempt.timeout_error())
+            return Err(progress.timeout_error())
         await asyncio.sleep(backoff * client.random.uniform(0.5, 1.0))
         backoff = min(2 * backoff, BACKOFF_LIMIT_SECONDS)
 
 
-class _ChangeAttempt:
+class _ChangeProgress:
     """Progress of one change.
 
     Attributes:
         min_version: Object version of the head known to exist; older reads are stale.
         head_sent: Whether an update of the head was sent whose outcome is unknown.
         first_sent_revision: Revision of the head before the first such update.
-        reason: Why the last attempt failed.
+        reason: Why the last call of the store failed.
     """
 
     def __init__(
@@ -259,13 +259,13 @@
             None if it has to be retried.
         """
         change = self.change
-        expired: tuple[str, ...] = ()
+        surplus: tuple[str, ...] = ()
         if change.value is not None:
             match await self.ancestors():
                 case Err(error):
                     return self.record_failure(error)
                 case Ok(ancestors):
-                    expired = ancestors[MAX_ANCESTORS:]
+                    surplus = ancestors[MAX_ANCESTORS:]
             record = _version_record(change, ancestors[:MAX_ANCESTORS])
             name = version_name(change.kind, change.name, change.change)
             if error := await self.create(name, record):
@@ -283,7 +283,7 @@
         )
         updated = await self.update_head(new_head, version)
         if updated:
-            await self.clean_up(head, expired)
+            await self.clean_up(head, surplus)
             return Ok(accepted)
         return None
 
@@ -298,8 +298,8 @@
     async def create(self, name: str, record: Version | Index) -> object | None:
         """Write an immutable object and return the error, if any.
 
-        Its name contains the id of this change, so an object of that name was written
-        by an earlier attempt and is no conflict.
+        Its name contains the id of this change, so an existing object of that name was
+        written by an earlier run of the same change and is no conflict.
         """
         value = msgspec.json.encode(record)
         match await self.client.put(name, value, expected=NO_VERSION):
@@ -324,26 +324,32 @@
                 self.reason = str(error)
         return False
 
-    async def clean_up(self, head: Head, expired: tuple[str, ...]) -> None:
-        """Delete expired versions and the oldest index.
+    async def clean_up(self, previous_head: Head, surplus: tuple[str, ...]) -> None:
+        """Delete objects that are no longer needed after the head was updated.
 
-        Errors are ignored, since an object that is left over has no effect.
+        These are the surplus versions, beyond ``MAX_ANCESTORS``, and the index of the
+        oldest change, which the new head no longer lists. Errors are ignored, since an
+        object that is left over has no effect.
+
+        Args:
+            previous_head: The head before the update.
+            surplus: Ids of the surplus versions.
         """
         change = self.change
-        for old in expired:
+        for old in surplus:
             await self.client.delete(version_name(change.kind, change.name, old))
-        if len(head.recent) >= MAX_RECENT_CHANGES:
-            oldest = head.recent[0]
+        if len(previous_head.recent) >= MAX_RECENT_CHANGES:
+            oldest = previous_head.recent[0]
             await self.client.delete(f"{INDEX_PREFIX}{oldest.change}-{oldest.revision}")
 
     def record_failure(
         self, error: object
     ) -> Result[AcceptedChange, ChangeError] | None:
-        """Record why an attempt failed.
+        """Record why a call of the store failed.
 
         Returns:
-            An error if the store refused the call permanently and no update of the head
-            may have taken effect, else None to retry.
+            An error if the store refused the call without asking for a retry and no
+            update of the head may have taken effect, else None to retry.
         """
         self.reason = str(error)
         if (
--- a/packages/cornelspan-control/src/cornelspan_control/control_plane.py
+++ b/packages/cornelspan-control/src/cornelspan_control/control_plane.py
@@ -20,10 +20,10 @@
 from cornelspan_control.members import Members
 from cornelspan_control.plane import Callback, Plane
 from cornelspan_control.relay_links import RelayLinks
-from cornelspan_control.roster import RosterPublisher, read_rosters
+from cornelspan_control.roster import RosterWriter, read_rosters
 from cornelspan_control.store import StoreClient
 from cornelspan_control.store_watch import poll_without_relays, watch_store
-from cornelspan_control.subscribers import send_heartbeats, serve_subscriber
+from cornelspan_control.subscribers import send_heartbeats, serve_process
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,11 +33,11 @@
     plane: Plane
     detector: FailureDetector
     relay_links: RelayLinks
-    publisher: RosterPublisher
+    roster_writer: RosterWriter
 
     async def serve(self, peer: Peer) -> None:
         """Serve one process that has connected to this daemon."""
-        await serve_subscriber(self.plane, self.detector, peer)
+        await serve_process(self.plane, self.detector, peer)
 
     def announce(self) -> None:
         """Send this daemon's announcement again, after it has changed."""
@@ -94,7 +94,7 @@
             on_configuration,
             tls,
         )
-        members.announce(announcement())
+        members.record(announcement())
         control = _build(plane)
         _start(control)
         yield control
@@ -105,11 +105,14 @@
     detector = FailureDetector(plane)
     relay_links = RelayLinks(plane, detector)
     plane.send_to_relays = relay_links.send
-    return Control(plane, detector, relay_links, RosterPublisher(plane))
+    return Control(plane, detector, relay_links, RosterWriter(plane))
 
 
 def _start(control: Control) -> None:
-    """Start the tasks; only balancers can be relays and need all of them."""
+    """Start the background tasks.
+
+    The last four are the work of relays, which only balancers can become.
+    """
     plane, tasks = control.plane, control.plane.tasks
     relay_links = control.relay_links
     tasks.start(relay_links.run(), name="follow relays")
@@ -117,9 +120,9 @@
     tasks.start(
         poll_without_relays(plane, lambda: relay_links.connected), name="poll store"
     )
-    tasks.start(read_rosters(plane), name="read members")
+    tasks.start(read_rosters(plane), name="read rosters")
     if plane.announcement().role == "balancer":
         tasks.start(watch_store(plane), name="watch store")
         tasks.start(control.detector.run(), name="judge")
-        tasks.start(control.publisher.run(), name="publish members")
+        tasks.start(control.roster_writer.run(), name="write rosters")
         tasks.start(send_heartbeats(plane), name="send heartbeats")
--- a/packages/cornelspan-control/src/cornelspan_control/dispatch.py
+++ b/packages/cornelspan-control/src/cornelspan_control/dispatch.py
@@ -25,12 +25,16 @@
 def handle_message(
     plane: Plane, detector: FailureDetector, peer: Peer, message: Message
 ) -> None:
-    """Handle one message; count it as refused if it is of an unexpected type."""
+    """Handle one message.
+
+    A message that this daemon doesn't handle is counted as refused, for example
+    service-level counts on a daemon that doesn't collect them.
+    """
     match message:
         case Heartbeat():
             _handle_heartbeat(plane, peer, message)
         case Announce():
-            plane.announce(message)
+            plane.record_announcement(message)
         case Subscribe():
             _handle_subscribe(plane, peer, message)
         case Membership():
@@ -48,7 +52,7 @@
         case ServiceCounts() if plane.collect_counts is not None:
             peer.send(plane.collect_counts(message, peer.hello.datacentre))
         case Sealed():
-            plane.on_sealed(message.minute)
+            plane.on_counts_stored(message.minute)
         case StatusRequest():
             peer.send(status_of(plane))
         case _:
--- a/packages/cornelspan-control/src/cornelspan_control/failure_detection.py
+++ b/packages/cornelspan-control/src/cornelspan_control/failure_detection.py
@@ -3,7 +3,8 @@
 The primary relay checks each member that has sent nothing for too long. It probes the
 member itself and asks a second balancer, which has either heard from the member
 recently or probes it too. The member is removed only if both get no answer: a single
-observer is wrong when its own link fails or its own process was paused.
+observer is wrong when its own link fails or its own process was paused. Only if no
+other balancer is known is the failed probe of the relay enough.
 """
 
 import asyncio
@@ -35,7 +36,7 @@
         stream_ended: Monotonic time at which a member's stream ended.
         check_slots: Limits how many members are checked at the same time.
         held_epochs: Epoch that this relay started for each data centre that it checks.
-        confirmed_dead: Checks after which the member was removed.
+        removals: Checks after which the member was removed.
         found_alive: Checks in which the member answered a probe or the second balancer
             reported it alive.
         unconfirmed: Checks without a verdict of a second balancer; the member stays.
@@ -49,12 +50,12 @@
         self.stream_ended: dict[str, float] = {}
         self.check_slots = asyncio.Semaphore(MAX_PARALLEL_CHECKS)
         self.held_epochs: dict[str, int] = {}
-        self.confirmed_dead = 0
+        self.removals = 0
         self.found_alive = 0
         self.unconfirmed = 0
 
-    def check_soon(self, name: str) -> None:
-        """Check a member after ``lost_seconds``, because its stream has ended."""
+    def note_stream_ended(self, name: str) -> None:
+        """Let a member be checked after ``lost_seconds``, as its stream has ended."""
         self.stream_ended[name] = time.monotonic()
 
     def receive_verdict(self, verdict: Verdict) -> None:
@@ -89,7 +90,7 @@
         has started, all members ignore removals that it sends under the old one.
         """
         plane = self.plane
-        datacentres = plane.primary_datacentres()
+        datacentres = plane.datacentres_as_primary()
         if not datacentres and not plane.is_relay:
             plane.last_heard.clear()
             self.stream_ended.clear()
@@ -131,24 +132,25 @@
     async def _check(self, member: Announce) -> None:
         async with self.check_slots:
             reached = await probe(self.plane, member)
-            reached_by_other = (
-                False if reached else await self._ask_other_balancer(member)
-            )
+            verdict = False if reached else await self._ask_other_balancer(member)
         self.stream_ended.pop(member.name, None)
-        if reached or reached_by_other:
+        if reached or verdict:
             self.found_alive += 1
             self.plane.last_heard[member.name] = time.monotonic()
             return
-        if reached_by_other is None:
+        # Without a verdict the member stays and is checked again.
+        if verdict is None:
             self.unconfirmed += 1
             return
-        self.confirmed_dead += 1
-        log.warning("member confirmed dead", extra={"member": member.name})
+        self.removals += 1
+        log.warning(
+            "member does not answer, removing it", extra={"member": member.name}
+        )
         if member.role == RELAY_ROLE:
-            # Two relays that start together both use the first epoch, so the dead one
-            # may have been primary under the epoch that this relay holds, for less than
-            # one iteration of this loop. If it was only paused, its removals would be
-            # accepted when it resumes; under a new epoch they are ignored.
+            # The dead balancer may have been primary under the same epoch, so briefly
+            # that ``run`` did not notice: two relays that start together both begin
+            # epoch 1. If it was only paused, its removals under that epoch would be
+            # accepted when it resumes, so begin a new one.
             self._begin_epoch(member.datacentre)
         gone = Gone(member.name, member.incarnation)
         self.plane.remove(gone, member.datacentre)
@@ -157,11 +159,11 @@
         """Ask another balancer whether a member is alive.
 
         Returns:
-            The verdict; None if no balancer answers in time. False if no other balancer
-            is known, so that the failed probe of this one is enough.
+            The verdict; None if no other balancer is connected or answers in time.
+            False if no other balancer is known: the failed probe of this one is enough.
         """
         plane = self.plane
-        peers = self._other_balancers(member)
+        peers = self._balancer_streams(member)
         if not peers:
             known = plane.members.known.values()
             balancers = {each.name for each in known if each.role == "balancer"}
@@ -180,8 +182,11 @@
         finally:
             self.pending_verdicts.pop(question, None)
 
-    def _other_balancers(self, member: Announce) -> list[Peer]:
-        """Return the streams of other balancers, relays of this data centre first."""
+    def _balancer_streams(self, member: Announce) -> list[Peer]:
+        """Return the open streams from balancers other than the member.
+
+        Streams from relays of this daemon's data centre come first.
+        """
         plane = self.plane
         relays = plane.relays()
         found = [
--- a/packages/cornelspan-control/src/cornelspan_control/fleet_status.py
+++ b/packages/cornelspan-control/src/cornelspan_control/fleet_status.py
@@ -96,7 +96,7 @@
         match read:
             case Ok(found):
                 for member in _roster_members(found.value):
-                    members.announce(member)
+                    members.record(member)
             case Err(error):
                 warnings.append(str(error))
     return members, warnings
--- a/packages/cornelspan-control/src/cornelspan_control/members.py
+++ b/packages/cornelspan-control/src/cornelspan_control/members.py
@@ -22,7 +22,7 @@
     tombstones: dict[str, int] = field(default_factory=dict)
     version: int = 0
 
-    def announce(self, member: Announce) -> bool:
+    def record(self, member: Announce) -> bool:
         """Record an announcement.
 
         Returns:
@@ -39,7 +39,9 @@
         return True
 
     def remove(self, name: str, incarnation: int) -> bool:
-        """Remove a member's incarnation and all earlier ones permanently.
+        """Remove a member's incarnation and all earlier ones.
+
+        Later announcements of these incarnations are ignored.
 
         Returns:
             Whether the member was known in such an incarnation.
--- a/packages/cornelspan-control/src/cornelspan_control/plane.py
+++ b/packages/cornelspan-control/src/cornelspan_control/plane.py
@@ -73,8 +73,8 @@
         last_heard: Monotonic time of the last message from each member of this data
             centre.
         last_heartbeats: The last heartbeat of each member.
-        silent_relays: Relays that send nothing to this daemon, with the monotonic time
-            at which that was found.
+        silent_relays: Relays that have sent nothing to this daemon for too long or
+            can't be connected, with the monotonic time at which that was found.
         epochs: Newest known epoch of each data centre's primary relay.
         relays_state: Member version and silent relays for which
             ``relays_by_datacentre`` is valid.
@@ -97,7 +97,7 @@
     tls: ssl.SSLContext | None = None
     send_to_relays: Callable[[Message], None] = lambda message: None
     collect_counts: Callable[[ServiceCounts, str], Sealed] | None = None
-    on_sealed: Callable[[int], None] = lambda minute: None
+    on_counts_stored: Callable[[int], None] = lambda minute: None
     subscribers: dict[Peer, Subscriber] = field(default_factory=dict)
     last_heard: dict[str, float] = field(default_factory=dict)
     last_heartbeats: dict[str, Heartbeat] = field(default_factory=dict)
@@ -151,11 +151,12 @@
         """Whether this daemon is one of its data centre's relays."""
         return self.name in self.relays()
 
-    def primary_datacentres(self) -> list[str]:
+    def datacentres_as_primary(self) -> list[str]:
         """Return the data centres whose primary relay this daemon is.
 
-        The primary runs failure detection and writes the roster to the store. A data
-        centre without balancers has its primary relay in another data centre.
+        The primary relay runs failure detection and writes the list of members to the
+        store. Only balancers are relays. A data centre without balancers has its relays
+        in other data centres.
         """
         if self.announcement().role != "balancer":
             return []
@@ -280,23 +281,23 @@
             self.stale_removals += bool(removals)
             removals = ()
         self.epochs[update.datacentre] = max(known, update.epoch)
-        joined = tuple(m for m in update.members if self._announce(m))
+        joined = tuple(m for m in update.members if self._record(m))
         removed = tuple(g for g in removals if self._remove(g))
         if joined or removed:
-            self.publish(update.datacentre, joined, removed)
+            self.send_membership(update.datacentre, joined, removed)
 
-    def announce(self, member: Announce) -> None:
+    def record_announcement(self, member: Announce) -> None:
         """Record a member's own announcement and forward it if it is new."""
         self.last_heard[member.name] = time.monotonic()
-        if self._announce(member):
-            self.publish(member.datacentre, (member,), ())
+        if self._record(member):
+            self.send_membership(member.datacentre, (member,), ())
 
     def remove(self, gone: Gone, datacentre: str) -> None:
         """Remove a member's incarnation and forward the removal if it is new."""
         if self._remove(gone):
-            self.publish(datacentre, (), (gone,))
+            self.send_membership(datacentre, (), (gone,))
 
-    def _announce(self, member: Announce) -> bool:
+    def _record(self, member: Announce) -> bool:
         """Record an announcement; return whether it was new.
 
         If it is of a newer incarnation of this daemon than the present one, this daemon
@@ -305,7 +306,7 @@
         if member.name == self.name and member.incarnation > self.incarnation:
             self._begin_incarnation(member.incarnation + 1)
             return False
-        if not self.members.announce(member):
+        if not self.members.record(member):
             return False
         self.last_heard.setdefault(member.name, time.monotonic())
         self.silent_relays.pop(member.name, None)
@@ -342,10 +343,10 @@
         """Send this daemon's own announcement to relays and subscribers."""
         own = self.announcement()
         self.send_to_relays(own)
-        if self.members.announce(own):
-            self.publish(self.datacentre, (own,), ())
+        if self.members.record(own):
+            self.send_membership(self.datacentre, (own,), ())
 
-    def publish(
+    def send_membership(
         self, datacentre: str, joined: tuple[Announce, ...], removed: tuple[Gone, ...]
     ) -> None:
         """Send announcements and removals to the subscribers that they concern."""
--- a/packages/cornelspan-control/src/cornelspan_control/records.py
+++ b/packages/cornelspan-control/src/cornelspan_control/records.py
@@ -136,7 +136,8 @@
     Args:
         client: The store.
         min_version: Object version known to exist; an older one is a stale read and
-            returned as an error.
+            returned as an error. If none is given and the store has no head, an empty
+            head with ``NO_VERSION`` is returned.
     """
     match await client.get(HEAD_NAME):
         case Err(ObjectMissing()) if min_version == NO_VERSION:
--- a/packages/cornelspan-control/src/cornelspan_control/relay_links.py
+++ b/packages/cornelspan-control/src/cornelspan_control/relay_links.py
@@ -109,7 +109,7 @@
         self.links.keep_only(set(wanted))
 
     def _update_scope(self, name: str, scope: str) -> None:
-        """Set the scope of a relay; subscribe again if its open stream has another."""
+        """Set a relay's scope; subscribe again if its open stream has another one."""
         before = self.scopes.get(name)
         self.scopes[name] = scope
         peer = self.links.get(name)
@@ -142,7 +142,12 @@
             self.last_heard[name] = now
 
     def _mark_silent(self, now: float) -> None:
-        """Mark relays that have timed out, and unmark them after a while to retry."""
+        """Mark relays that have timed out as silent; they are then not selected.
+
+        A relay has timed out if its stream delivered nothing, or if no stream to it
+        could be opened in time. The mark expires after ``SILENT_RETRY_SECONDS``, and
+        the relay gets a new timeout.
+        """
         silent = self.plane.silent_relays
         for name, last_heard in self.last_heard.items():
             if now - last_heard > self._silence_timeout(name) and name not in silent:
@@ -153,6 +158,11 @@
             self.last_heard.pop(name, None)
 
     def _silence_timeout(self, name: str) -> float:
+        """Return after how many seconds without a message a relay is silent.
+
+        Without an open stream this is the time for two attempts to connect, plus the
+        time that a member is given after its stream has ended.
+        """
         settings = self.plane.settings
         if self.links.get(name) is not None:
             return settings.control.relay_silent_seconds
--- a/packages/cornelspan-control/src/cornelspan_control/revisions.py
+++ b/packages/cornelspan-control/src/cornelspan_control/revisions.py
@@ -30,5 +30,5 @@
     try:
         return decoder.decode(revision.body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        log.warning("invalid configuration ignored", extra={"why": str(error)})
+        log.warning("could not decode configuration", extra={"why": str(error)})
         return None
--- a/packages/cornelspan-control/src/cornelspan_control/roster.py
+++ b/packages/cornelspan-control/src/cornelspan_control/roster.py
@@ -38,14 +38,15 @@
     members: tuple[Announce, ...]
 
 
-class RosterPublisher:
+class RosterWriter:
     """Writes the rosters of the data centres whose primary relay this daemon is.
 
     Attributes:
         versions: Last known object version of each roster.
         written: Epoch and member digest in each roster as last written.
         writes: Writes that took effect.
-        conflicts: Writes that failed because the roster had been written since.
+        conflicts: Writes that failed because the roster had been written since, by
+            another relay or by this one in a write whose response was lost.
     """
 
     def __init__(self, plane: Plane) -> None:
@@ -66,7 +67,7 @@
         while True:
             jitter = self.plane.store.random.uniform(0.5, 1.5)
             await asyncio.sleep(control.publish_seconds * jitter)
-            for datacentre in self.plane.primary_datacentres():
+            for datacentre in self.plane.datacentres_as_primary():
                 if self._state(datacentre) != self.written.get(datacentre):
                     await self._write(datacentre)
 
@@ -88,12 +89,18 @@
                 self.writes += 1
             case Err(VersionConflict()):
                 self.conflicts += 1
-                await self._reload(datacentre)
+                await self._read_after_conflict(datacentre)
             case Err(error):
-                log.info("roster not written", extra={"why": str(error)})
+                log.info(
+                    "roster write failed or outcome unknown", extra={"why": str(error)}
+                )
 
-    async def _reload(self, datacentre: str) -> None:
-        """Read a roster written by another relay, or by this one in a lost response."""
+    async def _read_after_conflict(self, datacentre: str) -> None:
+        """Read a roster and apply its members, so that the next write can succeed.
+
+        It was written by another relay, or by this one in a write whose response was
+        lost.
+        """
         match await self.plane.store.get(ROSTER_PREFIX + datacentre):
             case Ok(found):
                 self.versions[datacentre] = found.version
@@ -101,7 +108,9 @@
             case Err(ObjectMissing()):
                 self.versions[datacentre] = NO_VERSION
             case Err(error):
-                log.info("roster not read", extra={"why": str(error)})
+                log.info(
+                    "could not read roster after conflict", extra={"why": str(error)}
+                )
 
 
 async def read_rosters(plane: Plane) -> None:
@@ -127,14 +136,14 @@
         case Ok(listing):
             names = [name for name, _ in listing.objects]
         case Err(error):
-            log.info("rosters not listed", extra={"why": str(error)})
+            log.info("could not list rosters", extra={"why": str(error)})
             return
     for name in names:
         match await plane.store.get(name):
             case Ok(found):
                 apply_roster(plane, name.removeprefix(ROSTER_PREFIX), found.value)
             case Err(error):
-                log.info("roster not read", extra={"why": str(error)})
+                log.info("could not read roster", extra={"why": str(error)})
 
 
 def apply_roster(plane: Plane, datacentre: str, value: bytes) -> None:
@@ -145,7 +154,7 @@
     try:
         roster = msgspec.json.decode(value, type=Roster)
     except msgspec.DecodeError as error:
-        log.warning("invalid roster ignored", extra={"why": str(error)})
+        log.warning("could not decode roster", extra={"why": str(error)})
         return
     own = plane.announcement().service
     members = tuple(m for m in roster.members if not own or _is_relevant(plane, m))
--- a/packages/cornelspan-control/src/cornelspan_control/status.py
+++ b/packages/cornelspan-control/src/cornelspan_control/status.py
@@ -16,7 +16,7 @@
     These are its own data centre and those whose primary relay it is.
     """
     now = time.monotonic()
-    centres = sorted({plane.datacentre, *plane.primary_datacentres()})
+    centres = sorted({plane.datacentre, *plane.datacentres_as_primary()})
     members = [m for each in centres for m in plane.members.of_datacentre(each)]
     return Status(
         name=plane.name,
--- a/packages/cornelspan-control/src/cornelspan_control/store.py
+++ b/packages/cornelspan-control/src/cornelspan_control/store.py
@@ -63,10 +63,17 @@
     """Client of the store, limited to one daemon's rate of calls.
 
     Attributes:
-        reads: Read calls since the start.
-        writes: Write calls since the start.
+        random: Source of the jitter of this daemon.
+        reads: Attempted reads, lists and watches, including those not sent because the
+            rate was exceeded.
+        writes: Attempted writes and deletes, counted in the same way.
         lost_answers: Calls that were sent but got no response.
-        received_bytes: Size of all bodies read.
+        received_bytes: Size of the bodies of successful reads.
+
+    Args:
+        settings: Address, rate of calls and timeout.
+        tls: Client context; None for plain HTTP.
+        seed: Seed of ``random``, for tests.
     """
 
     def __init__(
@@ -159,9 +166,9 @@
         match sent:
             case Err(error) if isinstance(error, CallRefused | StoreUnavailable):
                 return Err(error)
-            case Err(lost_answers):
+            case Err(failure):
                 self.lost_answers += 1
-                return Err(StoreUnavailable(reason_of(lost_answers)))
+                return Err(StoreUnavailable(reason_of(failure)))
             case Ok(response):
                 pass
         if response.code == 404:
@@ -169,7 +176,7 @@
         if response.code == 200:
             self.received_bytes += len(response.body)
             return Ok(response)
-        return Err(_call_refused(response))
+        return Err(_refusal(response))
 
     async def _write(
         self, method: str, name: str, value: bytes | None, expected: int | None
@@ -183,9 +190,9 @@
         ):
             case Err(error) if isinstance(error, CallRefused | StoreUnavailable):
                 return Err(error)
-            case Err(lost_answers):
+            case Err(failure):
                 self.lost_answers += 1
-                return Err(OutcomeUnknown(name, reason_of(lost_answers)))
+                return Err(OutcomeUnknown(name, reason_of(failure)))
             case Ok(response):
                 return _write_result(response, name)
 
@@ -215,14 +222,18 @@
             # again after a conflict.
             return Err(VersionConflict(name, _reply_version(response) or NO_VERSION))
         case 413 | 429:
-            return Err(_call_refused(response))
+            return Err(_refusal(response))
         case code:
             # The error may come from a gateway, and the store behind it may have
             # executed the write.
             return Err(OutcomeUnknown(name, f"the store answered {code}"))
 
 
-def _call_refused(response: HTTPResponse) -> CallRefused:
+def _refusal(response: HTTPResponse) -> CallRefused:
+    """Return the error for a refused call.
+
+    ``retry_seconds`` is 0 unless the response gives a number of seconds to wait.
+    """
     wait = response.headers.get("Retry-After", "0")
     seconds = float(wait) if wait.isdecimal() else 0.0
     return CallRefused(f"the store answered {response.code}", seconds)
--- a/packages/cornelspan-control/src/cornelspan_control/store_watch.py
+++ b/packages/cornelspan-control/src/cornelspan_control/store_watch.py
@@ -28,23 +28,24 @@
     """Watch the head while this daemon is a relay, and put newer revisions in force.
 
     The head is read after each watch, even if the watch reported no change: a watch may
-    miss an event, and the change is then found when the next watch ends.
+    miss an event, and the change is then found when that watch times out. Each
+    successful read resets the backoff.
     """
-    after = 0
+    store_version = 0
     failures = 0
     while True:
         if not plane.is_relay:
             await asyncio.sleep(RELAY_CHECK_SECONDS)
             continue
-        if not await refresh(plane):
+        if not await refresh_configuration(plane):
             failures += 1
             await asyncio.sleep(_backoff(plane, failures))
             continue
         failures = 0
         seconds = plane.settings.control.watch_seconds
-        match await plane.store.watch(HEAD_NAME, after=after, seconds=seconds):
+        match await plane.store.watch(HEAD_NAME, after=store_version, seconds=seconds):
             case Ok(result):
-                after = result.version
+                store_version = result.version
                 if result.changed:
                     await _refresh_after_event(plane)
             case Err(error):
@@ -54,17 +55,17 @@
 
 
 async def _refresh_after_event(plane: Plane) -> None:
-    """Read until the reported change is visible; the first reads may be stale."""
+    """Read until a newer configuration is in force; the first reads may be stale."""
     before = plane.configuration.revision
     for _ in range(STALE_READ_ATTEMPTS):
-        await refresh(plane)
+        await refresh_configuration(plane)
         if plane.configuration.revision > before:
             return
         await asyncio.sleep(STALE_RETRY_SECONDS)
 
 
-async def refresh(plane: Plane) -> bool:
-    """Read the store once and put a newer configuration in force.
+async def refresh_configuration(plane: Plane) -> bool:
+    """Read the configuration from the store and put it in force if it is newer.
 
     Returns:
         Whether the read succeeded.
@@ -76,7 +77,9 @@
                 plane.put_in_force(newer)
             return True
         case Err(error):
-            log.info("store read failed", extra={"why": str(error)})
+            log.info(
+                "could not read configuration from the store", extra={"why": str(error)}
+            )
             return False
 
 
@@ -98,9 +101,9 @@
         period = min(period, control.fallback_seconds)
         await asyncio.sleep(period * plane.store.random.uniform(0.5, 1.5))
         if not plane.is_relay and not connected():
-            await refresh(plane)
+            await refresh_configuration(plane)
 
 
 def _backoff(plane: Plane, failures: int) -> float:
-    longest = BACKOFF_SECONDS * 2 ** min(failures - 1, 10)
-    return min(longest, BACKOFF_LIMIT_SECONDS) * plane.store.random.uniform(0.5, 1)
+    uncapped = BACKOFF_SECONDS * 2 ** min(failures - 1, 10)
+    return min(uncapped, BACKOFF_LIMIT_SECONDS) * plane.store.random.uniform(0.5, 1)
--- a/packages/cornelspan-control/src/cornelspan_control/subscribers.py
+++ b/packages/cornelspan-control/src/cornelspan_control/subscribers.py
@@ -8,10 +8,11 @@
 from cornelspan_control.plane import Plane
 
 
-async def serve_subscriber(plane: Plane, detector: FailureDetector, peer: Peer) -> None:
+async def serve_process(plane: Plane, detector: FailureDetector, peer: Peer) -> None:
     """Handle the messages of one process until its stream ends.
 
-    The process may have died, so the failure detector then checks it soon.
+    If it had subscribed and has no other stream here, it may have died. The failure
+    detector then checks it after ``lost_seconds``.
     """
     try:
         async for batch in batches(peer):
@@ -20,7 +21,7 @@
     finally:
         subscriber = plane.subscribers.pop(peer, None)
         if subscriber is not None and not plane.is_connected(peer.name):
-            detector.check_soon(peer.name)
+            detector.note_stream_ended(peer.name)
 
 
 async def send_heartbeats(plane: Plane) -> None:
--- a/packages/cornelspan-requests/src/cornelspan_requests/reporting.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/reporting.py
@@ -14,7 +14,7 @@
     counts: ObjectiveCounts, settings: AgentSettings, plane: Plane
 ) -> None:
     """Report at intervals until cancelled; what is sealed is forgotten."""
-    plane.on_sealed = counts.seal
+    plane.on_counts_stored = counts.seal
     while True:
         await asyncio.sleep(REPORT_SECONDS * random.uniform(0.8, 1.2))
         plane.send_to_relays(counts.message(settings.name, settings.service))
--- a/packages/cornelspan-standins/src/cornelspan_standins/_control_state.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_control_state.py
@@ -62,7 +62,7 @@
 
 def _announce_all(members: Members) -> None:
     for number in range(BALANCERS + AGENTS):
-        members.announce(_announcement(number))
+        members.record(_announcement(number))
 
 
 def _announcement(number: int) -> Announce:
--- a/packages/cornelspan-standins/src/cornelspan_standins/_measured.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_measured.py
@@ -103,7 +103,7 @@
         for number in range(AGENTS):
             listen = agent_settings(plan, SERVICE, number).listen
             name = f"{SERVICE}-{number + 1}"
-            members.announce(_announce(name, listen))
+            members.record(_announce(name, listen))
             state.agents.want(name, listen)
         while len(state.agents.open) < AGENTS:
             await asyncio.sleep(0.01)
--- a/packages/cornelspan-standins/src/cornelspan_standins/_placement_policies.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_placement_policies.py
@@ -117,7 +117,7 @@
 def _ranking(size: int) -> Ranking:
     members = Members()
     for index in range(size):
-        members.announce(
+        members.record(
             Announce(
                 _name(index),
                 "agent",
--- a/tests/http_fakes.py
+++ b/tests/http_fakes.py
@@ -144,7 +144,7 @@
             self.gateways[to].receive(sender, message)
 
     def announce(self, name, life):
-        self.members.announce(
+        self.members.record(
             Announce(name, "agent", "chuo-hall", life, HOST, 1, SERVICE, 1.0, 2, False)
         )
 
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -69,14 +69,14 @@
         agent = Life(self, name, life)
         self.agents[name] = agent
         announced = Announce(name, "agent", "d", life, "h", 1, SERVICE, 1.0, 2, False)
-        agent.members.announce(announced)
+        agent.members.record(announced)
         for other in list(self.agents.values()):
             for one, known in ((other, agent), (agent, other)):
                 about = Announce(
                     known.name, "agent", "d", known.life, "h", 1, SERVICE, 1.0, 2, False
                 )
                 delay = self.random.uniform(0, 0.05 if self.loop.time() < 1001 else 1)
-                self.loop.call_later(delay, one.members.announce, about)
+                self.loop.call_later(delay, one.members.record, about)
         agent.begin()
 
     def kill(self, name):
--- a/tests/test_flows_through_changes.py
+++ b/tests/test_flows_through_changes.py
@@ -110,7 +110,7 @@
     kept = []
 
     def keep_announce(member):
-        kept.append(lambda: plane.announce(member))
+        kept.append(lambda: plane.record_announcement(member))
         return False
 
     def keep_gone(gone):
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -10,7 +10,7 @@
 def members_of(names, *, service="order-hub", weight=1.0, leaving=()):
     members = Members()
     for name in names:
-        members.announce(
+        members.record(
             Announce(
                 name,
                 "agent",
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -52,7 +52,7 @@
     """A router between two peers, a balancer and a fabric."""
     members = Members()
     for name in NAMES:
-        members.announce(announce(name))
+        members.record(announce(name))
     configuration = Configuration()
     for address, service in ((ADDRESS, "order-hub"), (OTHER, "receipt-render")):
         configuration.by_address[address] = SimpleNamespace(name=service)
@@ -157,7 +157,7 @@
     world.router.look()
     world.router.route(routed(Kind.DATA))
     assert world.to_fabric == []
-    world.members.announce(msgspec.structs.replace(announce("hub-3"), incarnation=2))
+    world.members.record(msgspec.structs.replace(announce("hub-3"), incarnation=2))
     world.router.look()
     world.router.receive(owner, Owner(7, "hub-3", 2))
     world.router.doubted = [(0.0, life) for _, life in world.router.doubted]
