--- a/packages/cornelspan-control/src/cornelspan_control/plane.py
+++ b/packages/cornelspan-control/src/cornelspan_control/plane.py
@@ -65,8 +65,8 @@
             have removed the current one while this daemon is alive.
         collect_counts: On relays, takes an agent's service-level counts and the
             agent's data centre; returns up to which minute they are stored.
-        on_sealed: On agents, called with the minute up to which the relay has stored
-            the service-level counts.
+        on_counts_stored: On agents, called with the minute up to which the relay has
+            stored the service-level counts.
         subscribers: Subscriptions by stream, not by name. A process that connects
             again while its first stream is open has two; closing one must not remove
             the subscription of the other.
--- a/packages/cornelspan-daemon/src/cornelspan_daemon/main.py
+++ b/packages/cornelspan-daemon/src/cornelspan_daemon/main.py
@@ -23,9 +23,9 @@
     PassthroughBalancerSettings,
 )
 
-BAD_SETTINGS = 2
+EXIT_BAD_SETTINGS = 2
 Role = Literal["balancer", "agent", "passthrough-balancer", "passthrough-agent"]
-KINDS: dict[str, type[Checked]] = {
+SETTINGS_BY_ROLE: dict[str, type[Checked]] = {
     "balancer": BalancerSettings,
     "agent": AgentSettings,
     "passthrough-balancer": PassthroughBalancerSettings,
@@ -51,9 +51,9 @@
         """Run until a signal asks for a stop."""
         match load_settings(self.settings, BalancerSettings):
             case Ok(settings):
-                return run_secured(settings, run_balancer)
+                return run_with_tls(settings, run_balancer)
             case Err(error):
-                return refuse(str(error))
+                return report_error(str(error))
 
 
 @cappa.command(name="agent", help="Run an agent beside one backend server.")
@@ -70,12 +70,12 @@
         """Run until a signal asks for a stop."""
         match load_settings(self.settings, AgentSettings):
             case Ok(settings):
-                return run_secured(settings, run_agent)
+                return run_with_tls(settings, run_agent)
             case Err(error):
-                return refuse(str(error))
+                return report_error(str(error))
 
 
-@cappa.command(name="check", help="Check a settings file; exit 2 if it is refused.")
+@cappa.command(name="check", help="Check a settings file; exit 2 if it is invalid.")
 @dataclass(frozen=True)
 class CheckCommand:
     """Check a settings file without running anything.
@@ -83,45 +83,45 @@
     Example: cornelspand check balancer --settings examples/balancer-1.json
     """
 
-    role: Annotated[Role, cappa.Arg(help="Whose settings the file holds.")]
+    role: Annotated[Role, cappa.Arg(help="The role that the settings are for.")]
     settings: SettingsFile
 
     def __call__(self) -> int:
-        """Report the first field at fault."""
-        match load_settings(self.settings, KINDS[self.role]):
+        """Report the first invalid field."""
+        match load_settings(self.settings, SETTINGS_BY_ROLE[self.role]):
             case Ok(_):
-                print(f"{self.settings}: good settings of a {self.role}")
+                print(f"{self.settings}: valid settings for role {self.role}")
                 return 0
             case Err(error):
-                return refuse(str(error))
+                return report_error(str(error))
 
 
 @cappa.command(name="cornelspand", help="The daemons of cornelspan.")
 @dataclass(frozen=True)
-class Root:
+class DaemonCommand:
     """The daemon's commands."""
 
     command: cappa.Subcommands[BalancerCommand | AgentCommand | CheckCommand]
 
 
-def run_secured(
+def run_with_tls(
     settings: DaemonType, run: Callable[[DaemonType, Tls], Coroutine[Any, Any, None]]
 ) -> int:
-    """Open the TLS files that the settings name, and run a daemon with them."""
+    """Load the TLS files that the settings name, and run a daemon with them."""
     match open_tls(settings.tls):
         case Ok(tls):
             asyncio.run(run(settings, tls))
             return 0
         case Err(error):
-            return refuse(str(error))
+            return report_error(str(error))
 
 
-def refuse(reason: str) -> int:
-    """Say why settings are refused and return the exit code."""
+def report_error(reason: str) -> int:
+    """Print why the settings are invalid, and return the exit code."""
     print(reason, file=sys.stderr)
-    return BAD_SETTINGS
+    return EXIT_BAD_SETTINGS
 
 
 def main() -> None:
     """Entry point of the ``cornelspand`` binary."""
-    sys.exit(cappa.invoke(Root))
+    sys.exit(cappa.invoke(DaemonCommand))
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
@@ -1,7 +1,8 @@
-"""The pass-through agent: hands packets to its endpoint and the endpoint's to clients.
+"""The pass-through agent: forwards packets between its endpoint and clients.
 
-It decides only whether its endpoint takes a new flow, and says so when it doesn't hold
-a flow. Beside that it records the owners of the flows that it is home of.
+The agent only decides whether its endpoint accepts a new flow, and tells balancers when
+the endpoint does not hold a flow. In addition it records the owners of those flows for
+which it is a home, see ``homes``.
 """
 
 import socket
@@ -15,221 +16,246 @@
 from cornelspan_common.ejection import Judgement
 from cornelspan_common.expiring import Expiring
 from cornelspan_common.logs import get_log, set_level
-from cornelspan_passthrough import hops
+from cornelspan_passthrough import messages
 from cornelspan_passthrough.datagrams import DatagramSocket
-from cornelspan_passthrough.delivering import (
+from cornelspan_passthrough.dead_flows import log_endpoint, reset_dead_flow, reset_flows
+from cornelspan_passthrough.delivery import (
     answer_ask,
-    deliver,
-    find,
-    release,
-    say_not_here,
+    forward_packet,
+    forward_to_owner,
+    release_requests,
+    send_not_here,
 )
-from cornelspan_passthrough.endpoint import Endpoint, Hearing, Life, Report
-from cornelspan_passthrough.flows import NO_DOUBT, Doubt, FlowTable, OwnedFlow
-from cornelspan_passthrough.heads import (
+from cornelspan_passthrough.endpoint import Endpoint, Incarnation, Report, ReportOutcome
+from cornelspan_passthrough.flows import (
+    NO_UNCONFIRMED_PACKET,
+    FlowTable,
+    OwnedFlow,
+    UnconfirmedPacket,
+)
+from cornelspan_passthrough.histograms import Histogram
+from cornelspan_passthrough.members import service_tag
+from cornelspan_passthrough.outlier_detection import (
+    is_ejected,
+    probe_rejection_reason,
+    record_packet,
+)
+from cornelspan_passthrough.packet_headers import (
     BOUNCED,
     FIN,
     RST,
     SYN,
-    Head,
     PacketCodec,
+    PacketHeader,
     address_text,
     client_address,
     flow_text,
 )
-from cornelspan_passthrough.histograms import Histogram
-from cornelspan_passthrough.judging import is_ejected, judge_packet, probe_refusal
-from cornelspan_passthrough.lives import end_dead_flow, end_flows, log_endpoint
-from cornelspan_passthrough.members import service_tag
 from cornelspan_passthrough.pulses import DOWN, DRAINING, Ping, Pong
+from cornelspan_passthrough.request_queue import RequestQueue
 from cornelspan_passthrough.settings import PassthroughAgentSettings, socket_address
 from cornelspan_passthrough.urgency import MILLISECONDS
-from cornelspan_passthrough.waiting import WaitingLine
-
-NO_HOMES = (hops.NOBODY, hops.NOBODY)
-# A question waits this long for the endpoint's word, which comes within a round trip.
-ASKED_SECONDS = 2.0
-# Flows are recorded a quarter longer than they may be open, so that no record ends
-# before its flow does.
-RECORD_MARGIN = 1.25
-# Requests at the endpoint beyond those it works on. With one, a slot that becomes free
-# is filled at once; each further one would wait where no priority counts.
-QUEUED_REQUESTS = 1
-# Work for this many times its slots is what an endpoint may have before new flows are
-# sent on: a second round beside the one that runs.
+
+NO_HOMES = (messages.NO_ADDRESS, messages.NO_ADDRESS)
+# How long the agent waits for the endpoint's reaction to a packet of an unknown flow.
+# The reaction takes a round trip.
+UNCONFIRMED_SECONDS = 2.0
+# Flows are kept a quarter longer than they may be open, so that no record expires
+# before its flow ends.
+RETENTION_FACTOR = 1.25
+# Requests at the endpoint beyond its slots. With one, a slot that becomes free is
+# filled at once. Any more would wait in the endpoint's queue, which ignores priorities.
+DEFAULT_QUEUED_REQUESTS = 1
+# An endpoint rejects new flows once it has this many times its slots of work: one round
+# of requests running and another waiting.
 BUSY_FACTOR = 2
 # A flow's first request follows its first packet after a round trip to the client.
-COMING_SECONDS = 0.02
+# Flows that started within this time count as work.
+FIRST_REQUEST_SECONDS = 0.02
 
 log = get_log(__name__)
 
 
 @dataclass
 class Agent:
-    """State and decisions of one agent; its sockets are set when it runs.
-
-    ``started_at`` is the loop's time of the start: flows that opened earlier are
-    unknown here while the endpoint may hold them. ``asked`` holds each flow in doubt,
-    ``balancers`` those that have pinged. ``queued_requests`` may be at the endpoint
-    beyond those it works on. ``report_listener`` takes the endpoint's calls;
-    it listens from the start, though they are answered later.
+    """State and decisions of one agent.
+
+    ``started_at`` is when the agent started; flows that opened earlier are unknown
+    here, though the endpoint may hold them. ``unconfirmed_packets`` has the latest
+    packet of each unknown flow that was sent to the endpoint. ``balancers`` are those
+    that have sent pings, the last one at ``last_ping_at``. ``unlisted_since`` is when
+    pings began to say that the agent is missing from the listing, None if it is listed.
+    ``queued_requests`` may be at the endpoint beyond its slots. ``report_listener``
+    accepts the endpoint's connections from the start, though its calls are answered
+    later. Times are of the event loop's clock, in seconds.
     """
 
     settings: PassthroughAgentSettings
     codec: PacketCodec
-    local: DatagramSocket
-    daemons: DatagramSocket
+    packet_socket: DatagramSocket
+    daemon_socket: DatagramSocket
     started_at: float
     report_listener: socket.socket | None = None
     counts: Counter[str] = field(default_factory=Counter)
-    asked: dict[int, Doubt] = field(default_factory=dict)
+    unconfirmed_packets: dict[int, UnconfirmedPacket] = field(default_factory=dict)
     balancers: set[str] = field(default_factory=set)
-    pinged_at: float = 0.0
-    unlisted_at: float | None = None
+    last_ping_at: float = 0.0
+    unlisted_since: float | None = None
     stopping: bool = False
-    queued_requests: int = QUEUED_REQUESTS
+    queued_requests: int = DEFAULT_QUEUED_REQUESTS
 
     def __post_init__(self) -> None:
         settings = self.settings
-        kept = settings.flow_seconds * RECORD_MARGIN
-        self.flows = FlowTable(kept)
-        self.directory: Expiring[int] = Expiring(idle_seconds=kept)
-        self.waiting = WaitingLine()
-        self.judgement = Judgement()
-        self.complaints = complaint_bucket()
+        retention_seconds = settings.flow_seconds * RETENTION_FACTOR
+        self.flows = FlowTable(retention_seconds)
+        self.owner_records: Expiring[int] = Expiring(idle_seconds=retention_seconds)
+        self.request_queue = RequestQueue()
+        self.outlier_detector = Judgement()
+        self.log_budget = complaint_bucket()
         self.waiting_times = Histogram()
         self.endpoint = Endpoint(
             settings.service, settings.report_milliseconds / 1000, self.started_at
         )
-        self.tag = service_tag(settings.service)
+        self.service_tag = service_tag(settings.service)
         self.own_address = int(IPv4Address(settings.address))
         self.endpoint_address = socket_address(settings.endpoint)
         self.client_port = socket_address(settings.packets)[1]
 
     @property
     def sockets(self) -> tuple[DatagramSocket, ...]:
-        """The sockets that it reads."""
-        return self.local, self.daemons
+        """The sockets that the agent reads."""
+        return self.packet_socket, self.daemon_socket
 
     def take_settings(self, settings: PassthroughAgentSettings) -> None:
-        """Take in settings that have changed."""
+        """Apply changed settings."""
         self.settings = settings
-        kept = settings.flow_seconds * RECORD_MARGIN
-        self.flows.flow_seconds = kept
-        self.directory.idle_seconds = kept
+        retention_seconds = settings.flow_seconds * RETENTION_FACTOR
+        self.flows.flow_seconds = retention_seconds
+        self.owner_records.idle_seconds = retention_seconds
         self.endpoint.report_seconds = settings.report_milliseconds / 1000
         set_level(settings.log)
 
-    # Datagrams of daemons
+    # Datagrams from other daemons
 
-    def from_daemon(self, data: bytes, sender: str, now: float) -> None:
-        """Take a datagram of another daemon."""
+    def receive_from_daemon(self, data: bytes, sender: str, now: float) -> None:
+        """Process a datagram of another daemon."""
         kind = data[0] if data else 0
-        if kind in (hops.DELIVER, hops.TRY):
-            deliver(self, data[1:], kind, sender, now)
-        elif kind == hops.OPEN:
-            hop = hops.decode_open(data)
-            if hop is None:
+        if kind in (messages.DELIVER, messages.TRY):
+            forward_packet(self, data[1:], kind, sender, now)
+        elif kind == messages.OPEN:
+            open_message = messages.decode_open(data)
+            if open_message is None:
                 self.counts["broken_datagrams"] += 1
                 return
-            self._open(hop, sender, now)
-        elif kind == hops.ASK:
-            note = hops.decode_note(data)
-            if note is not None:
-                self.send(sender, answer_ask(self, note.flow, now))
-        elif kind == hops.FIND:
-            find(self, data[1:], sender, now)
-        elif kind == hops.PASSED and len(data) > hops.PASSED_HEAD:
-            origin, packet = hops.decode_passed(data)
-            deliver(self, packet, hops.DELIVER, origin, now)
-        elif kind == hops.RECORD:
-            note = hops.decode_note(data)
-            if note is not None:
-                self.directory.put(note.flow, note.agent, now)
-        elif kind == hops.PING:
-            self._ping(data, sender, now)
+            self._receive_open(open_message, sender, now)
+        elif kind == messages.ASK:
+            message = messages.decode_flow_message(data)
+            if message is not None:
+                self.send(sender, answer_ask(self, message.flow, now))
+        elif kind == messages.FIND:
+            forward_to_owner(self, data[1:], sender, now)
+        elif kind == messages.FORWARDED and len(data) > messages.FORWARDED_HEADER_BYTES:
+            balancer, packet = messages.decode_forwarded(data)
+            forward_packet(self, packet, messages.DELIVER, balancer, now)
+        elif kind == messages.RECORD:
+            message = messages.decode_flow_message(data)
+            if message is not None:
+                self.owner_records.put(message.flow, message.agent, now)
+        elif kind == messages.PING:
+            self._receive_ping(data, sender, now)
         else:
             self.counts["broken_datagrams"] += 1
 
-    def _open(self, hop: hops.Open, origin: str, now: float) -> None:
-        """Offer a first packet to the endpoint, or hand it back at once."""
-        head = self.codec.read_client(hop.packet)
-        if head is None:
+    def _receive_open(
+        self, open_message: messages.OpenMessage, balancer: str, now: float
+    ) -> None:
+        """Offer a first packet to the endpoint, or reject it at once."""
+        header = self.codec.read_client(open_message.packet)
+        if header is None:
             self.counts["broken_packets"] += 1
             return
-        known = self.flows.get(head.flow)
-        if known is not None and not known.ended:
-            # A repeat: the endpoint has the flow and answers as it did before.
-            known.origin = origin
-            self.to_endpoint(hop.packet, hops.OPEN)
+        existing = self.flows.get(header.flow)
+        if existing is not None and not existing.ended:
+            # A retransmission: the endpoint holds the flow and repeats its answer.
+            existing.balancer = balancer
+            self.send_to_endpoint(open_message.packet, messages.OPEN)
             return
-        refusal = self._refusal(hop, now)
-        if refusal:
-            self._refuse(head.flow, refusal, hop.packet, origin)
+        reason = self._rejection_reason(open_message, now)
+        if reason:
+            self._reject(header.flow, reason, open_message.packet, balancer)
             return
-        owned = self.flows.start(head.flow, origin, hop.homes, now)
-        owned.urgency = hop.urgency
+        owned = self.flows.start(header.flow, balancer, open_message.homes, now)
+        owned.urgency = open_message.urgency
         self.counts["flows_offered"] += 1
-        self.to_endpoint(hop.packet, hops.OPEN)
+        self.send_to_endpoint(open_message.packet, messages.OPEN)
 
-    def _refusal(self, hop: hops.Open, now: float) -> int:
-        """Return why the endpoint takes no new flow now; 0 if it does."""
-        if hop.service_tag != self.tag:
-            return hops.FOREIGN_SERVICE
+    def _rejection_reason(self, open_message: messages.OpenMessage, now: float) -> int:
+        """Return why the endpoint accepts no new flow now, 0 if it does accept."""
+        if open_message.service_tag != self.service_tag:
+            return messages.WRONG_SERVICE
         if self.endpoint.state == DRAINING:
-            return hops.ENDPOINT_LEAVES
+            return messages.ENDPOINT_DRAINING
         if self.endpoint.state == DOWN or self.stopping:
-            return hops.ENDPOINT_DOWN
-        if self.endpoint.is_foreign:
-            return hops.ENDPOINT_FOREIGN
-        if hop.is_final:
+            return messages.ENDPOINT_DOWN
+        if self.endpoint.has_wrong_service:
+            return messages.ENDPOINT_WRONG_SERVICE
+        if open_message.is_final:
             return 0
-        return hops.ENDPOINT_BUSY if self._is_busy(now) else probe_refusal(self, now)
+        return (
+            messages.ENDPOINT_BUSY
+            if self._is_busy(now)
+            else probe_rejection_reason(self, now)
+        )
 
     def _is_busy(self, now: float) -> bool:
-        """Whether new flows should rather go elsewhere.
+        """Whether new flows should go to other endpoints.
 
-        Balancers know the load of some hundred milliseconds ago. In a crowd each of
-        them sends its share to the same idle endpoint before any hears of the others.
+        Balancers know a load that is some hundred milliseconds old. In a burst, each of
+        them sends its share to the same idle endpoint before it learns of the others'
+        flows.
         """
-        coming = self.flows.opened_since(now - COMING_SECONDS)
-        busy = self.flows.running + len(self.waiting) + coming
+        expected = self.flows.started_since(now - FIRST_REQUEST_SECONDS)
+        busy = self.flows.running + len(self.request_queue) + expected
         return busy >= BUSY_FACTOR * self.endpoint.capacity + self.queued_requests
 
-    def _refuse(self, flow: int, reason: int, packet: bytes, origin: str) -> None:
+    def _reject(self, flow: int, reason: int, packet: bytes, balancer: str) -> None:
         log.info(
-            "flow handed back",
+            "new flow rejected",
             extra={
                 "flow": flow_text(flow),
-                "reason": hops.REASONS[reason],
-                "balancer": origin,
-                "life": str(self.endpoint.life),
+                "reason": messages.REJECTION_REASONS[reason],
+                "balancer": balancer,
+                "life": str(self.endpoint.incarnation),
             },
         )
         self.counts["flows_handed_back"] += 1
-        note = hops.encode_note(hops.REFUSED, flow, detail=reason, packet=packet)
-        self.send(origin, note)
+        message = messages.encode_flow_message(
+            messages.REJECTED, flow, detail=reason, packet=packet
+        )
+        self.send(balancer, message)
 
-    def tell_owner(self, flow: int, origin: str) -> None:
+    def send_owner(self, flow: int, balancer: str) -> None:
         """Tell a balancer that this agent owns a flow."""
-        note = hops.encode_note(hops.OWNED, flow, agent=self.own_address)
-        self.send(origin, note)
+        message = messages.encode_flow_message(
+            messages.OWNED, flow, agent=self.own_address
+        )
+        self.send(balancer, message)
 
-    def _ping(self, data: bytes, sender: str, now: float) -> None:
+    def _receive_ping(self, data: bytes, sender: str, now: float) -> None:
         try:
             ping = msgspec.msgpack.decode(data[1:], type=Ping)
         except msgspec.DecodeError:
             self.counts["broken_datagrams"] += 1
             return
-        self.pinged_at = now
+        self.last_ping_at = now
         self.balancers.add(sender)
         if ping.listed:
-            self.unlisted_at = None
-        elif self.unlisted_at is None:
-            self.unlisted_at = now
-        self.send(sender, self._pong(now))
+            self.unlisted_since = None
+        elif self.unlisted_since is None:
+            self.unlisted_since = now
+        self.send(sender, self._encode_pong(now))
 
-    def _pong(self, now: float) -> bytes:
+    def _encode_pong(self, now: float) -> bytes:
         endpoint = self.endpoint
         pong = Pong(
             self.settings.address,
@@ -237,133 +263,142 @@
             self.settings.service,
             DOWN if self.stopping else endpoint.announced_state,
             endpoint.capacity,
-            self.flows.running + len(self.waiting),
+            self.flows.running + len(self.request_queue),
             self.flows.open_flows,
             is_ejected(self, now),
-            round(self.flows.pace_now(now) * MILLISECONDS),
+            round(self.flows.response_seconds_now(now) * MILLISECONDS),
         )
-        return bytes((hops.PONG,)) + msgspec.msgpack.encode(pong)
+        return bytes((messages.PONG,)) + msgspec.msgpack.encode(pong)
 
-    # Packets of the endpoint
+    # Packets from the endpoint
 
-    def from_endpoint(self, data: bytes, now: float) -> None:
-        """Take a packet that the endpoint has sent."""
-        head = self.codec.read_endpoint(data)
-        if head is None:
+    def receive_from_endpoint(self, data: bytes, now: float) -> None:
+        """Process a packet that the endpoint has sent."""
+        header = self.codec.read_endpoint(data)
+        if header is None:
             self.counts["broken_packets"] += 1
             return
-        if head.flags & BOUNCED:
-            self._bounced(head, data, now)
-            release(self, now)
+        if header.flags & BOUNCED:
+            self._receive_bounced(header, data, now)
+            release_requests(self, now)
             return
-        self.local.send(data, (client_address(head.flow), self.client_port))
-        owned = self.flows.get(head.flow)
+        self.packet_socket.send(data, (client_address(header.flow), self.client_port))
+        owned = self.flows.get(header.flow)
         if owned is None:
-            owned = self._learn(head, now)
-        if head.flags & SYN:
-            self._taken(head.flow, owned)
+            owned = self._learn_flow(header, now)
+        if header.flags & SYN:
+            self._announce_accepted(header.flow, owned)
             return
-        judge_packet(self, owned, head, now)
-        self.flows.answered(head.flow, owned, head.length, now)
-        if head.flags & (FIN | RST):
-            self.flows.end(head.flow, owned)
-            self.waiting.remove(head.flow)
-        release(self, now)
-
-    def _learn(self, head: Head, now: float) -> OwnedFlow:
-        """Take in a flow that opened before this process started."""
-        origin = self.asked.pop(head.flow, NO_DOUBT).origin
-        owned = self.flows.start(head.flow, origin, NO_HOMES, now)
-        owned.answered = True
+        record_packet(self, owned, header, now)
+        self.flows.record_response(header.flow, owned, header.length, now)
+        if header.flags & (FIN | RST):
+            self.flows.end(header.flow, owned)
+            self.request_queue.remove(header.flow)
+        release_requests(self, now)
+
+    def _learn_flow(self, header: PacketHeader, now: float) -> OwnedFlow:
+        """Add a flow that opened before this process started."""
+        balancer = self.unconfirmed_packets.pop(
+            header.flow, NO_UNCONFIRMED_PACKET
+        ).balancer
+        owned = self.flows.start(header.flow, balancer, NO_HOMES, now)
+        owned.accepted = True
         owned.is_learned = True
-        if origin:
-            self.tell_owner(head.flow, origin)
+        if balancer:
+            self.send_owner(header.flow, balancer)
         return owned
 
-    def _taken(self, flow: int, owned: OwnedFlow) -> None:
-        """Tell the balancer and the homes that the endpoint has taken a flow."""
-        if owned.answered:
+    def _announce_accepted(self, flow: int, owned: OwnedFlow) -> None:
+        """Tell the balancer and the homes that the endpoint has accepted a flow."""
+        if owned.accepted:
             return
-        owned.answered = True
+        owned.accepted = True
         self.counts["flows_taken"] += 1
-        if owned.origin:
-            self.tell_owner(flow, owned.origin)
+        if owned.balancer:
+            self.send_owner(flow, owned.balancer)
         for home in owned.homes:
-            if home not in (hops.NOBODY, self.own_address):
-                note = hops.encode_note(hops.RECORD, flow, agent=self.own_address)
-                self.send(address_text(home), note)
-
-    def _bounced(self, head: Head, data: bytes, now: float) -> None:
-        """Take back a packet that the endpoint can't take."""
+            if home not in (messages.NO_ADDRESS, self.own_address):
+                message = messages.encode_flow_message(
+                    messages.RECORD, flow, agent=self.own_address
+                )
+                self.send(address_text(home), message)
+
+    def _receive_bounced(self, header: PacketHeader, data: bytes, now: float) -> None:
+        """Process a packet that the endpoint sent back because it can't accept it."""
         packet = self.codec.marked(data, 0)
-        if head.flags & SYN:
-            owned = self.flows.remove(head.flow)
+        if header.flags & SYN:
+            owned = self.flows.remove(header.flow)
             if owned is not None:
-                self._refuse(head.flow, hops.ENDPOINT_FULL, packet, owned.origin)
+                self._reject(
+                    header.flow, messages.ENDPOINT_FULL, packet, owned.balancer
+                )
             return
-        owned = self.flows.get(head.flow)
-        if owned is not None and owned.opened:
-            # It opened here and nowhere else, and the endpoint no longer holds it.
-            end_dead_flow(self, head.flow, owned, "endpoint forgot it")
+        owned = self.flows.get(header.flow)
+        if owned is not None and owned.established:
+            # The flow is open at this endpoint only, and the endpoint no longer holds
+            # it.
+            reset_dead_flow(self, header.flow, owned, "endpoint no longer holds it")
             return
-        origin, is_try, _ = self.asked.pop(head.flow, NO_DOUBT)
+        balancer, is_try, _ = self.unconfirmed_packets.pop(
+            header.flow, NO_UNCONFIRMED_PACKET
+        )
         if owned is not None:
-            # The endpoint had answered a first packet whose client took up another's
-            # answer.
-            origin = owned.origin
-            self.flows.remove(head.flow)
-        if origin:
-            say_not_here(self, head.flow, origin, b"" if is_try else packet)
-
-    # The endpoint's reports
-
-    def report(self, report: Report, now: float) -> Hearing:
-        """Take in a report of the endpoint; return what it was taken for."""
-        was = (self.endpoint.life, self.endpoint.announced_state)
-        heard_at = self.endpoint.reported_at
-        hearing = self.endpoint.report(report, now)
-        if (self.endpoint.life, self.endpoint.announced_state) != was:
-            log_endpoint(self, "endpoint reported")
-            self.tell_balancers(now)
-        if hearing is Hearing.BEGINS:
-            self.judgement = Judgement()
-            end_flows(self, "endpoint restarted", before=heard_at)
-        return hearing
-
-    def tell_balancers(self, now: float) -> None:
-        """Tell the balancers of a change without being asked.
-
-        Their next ping may be a few hundred milliseconds away: so long would a new
-        endpoint get no flow, and one that leaves get some that it hands back.
+            # The endpoint had answered a first packet, but the client took up the
+            # answer of another endpoint.
+            balancer = owned.balancer
+            self.flows.remove(header.flow)
+        if balancer:
+            send_not_here(self, header.flow, balancer, b"" if is_try else packet)
+
+    # Calls of the endpoint
+
+    def receive_report(self, report: Report, now: float) -> ReportOutcome:
+        """Process a report of the endpoint; return how it was classified."""
+        before = (self.endpoint.incarnation, self.endpoint.announced_state)
+        last_report_at = self.endpoint.reported_at
+        outcome = self.endpoint.receive_report(report, now)
+        if (self.endpoint.incarnation, self.endpoint.announced_state) != before:
+            log_endpoint(self, "endpoint state changed")
+            self.send_pongs(now)
+        if outcome is ReportOutcome.NEW_INCARNATION:
+            self.outlier_detector = Judgement()
+            reset_flows(self, "endpoint restarted", before=last_report_at)
+        return outcome
+
+    def send_pongs(self, now: float) -> None:
+        """Send the agent's state to all balancers without waiting for their pings.
+
+        The next ping may be a few hundred milliseconds away. Until then a new endpoint
+        would get no flows, and a draining one would get flows that it rejects.
         """
         for balancer in self.balancers:
-            self.send(balancer, self._pong(now))
+            self.send(balancer, self._encode_pong(now))
 
-    def leave(self, life: Life) -> None:
-        """Take in that the endpoint has gone."""
-        if self.endpoint.leave(life):
+    def leave(self, incarnation: Incarnation) -> None:
+        """Process the endpoint's call that an incarnation ends."""
+        if self.endpoint.leave(incarnation):
             log_endpoint(self, "endpoint left")
-            end_flows(self, "endpoint left")
+            reset_flows(self, "endpoint left")
 
-    def endpoint_refuses(self) -> None:
-        """Take in that nothing listens at the endpoint's address any more."""
-        self.endpoint.down()
+    def mark_endpoint_down(self) -> None:
+        """Record that nothing listens at the endpoint's address any more."""
+        self.endpoint.mark_down()
         log_endpoint(self, "endpoint down")
-        end_flows(self, "endpoint down")
+        reset_flows(self, "endpoint down")
 
     def sweep(self, now: float) -> None:
-        """Forget what is too old."""
+        """Remove expired flows, owner records and unconfirmed packets."""
         self.flows.sweep(now)
-        self.directory.expire(now)
-        for flow in list(self.asked):
-            if now - self.asked[flow].at <= ASKED_SECONDS:
+        self.owner_records.expire(now)
+        for flow in list(self.unconfirmed_packets):
+            if now - self.unconfirmed_packets[flow].forwarded_at <= UNCONFIRMED_SECONDS:
                 return
-            del self.asked[flow]
+            del self.unconfirmed_packets[flow]
 
-    def to_endpoint(self, packet: bytes, mark: int) -> None:
-        """Hand a packet to the endpoint, under a mark."""
-        self.local.send(self.codec.marked(packet, mark), self.endpoint_address)
+    def send_to_endpoint(self, packet: bytes, mark: int) -> None:
+        """Send a packet to the endpoint, with a mark in its header."""
+        self.packet_socket.send(self.codec.marked(packet, mark), self.endpoint_address)
 
     def send(self, address: str, data: bytes) -> None:
         """Send a datagram to another daemon."""
-        self.daemons.send(data, (address, self.settings.internal_port))
+        self.daemon_socket.send(data, (address, self.settings.internal_port))
--- a/packages/cornelspan-standins/src/cornelspan_standins/_requests_run.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_requests_run.py
@@ -14,9 +14,14 @@
 from cornelspan_control.profiles import RequestPolicy
 from cornelspan_ownership.placement import LOAD_SECONDS, Loads, OwnLoad, load_message
 from cornelspan_requests.admission import Admission
-from cornelspan_requests.dispatch import HERE, MOST_MOVES, best_place, urgent_view
-from cornelspan_requests.endpoint import RECONSIDER_SECONDS, has_idle_peer
-from cornelspan_requests.outcomes import Reason, Refusal
+from cornelspan_requests.dispatch import (
+    LOCAL,
+    MAX_MOVES,
+    choose_destination,
+    urgent_loads,
+)
+from cornelspan_requests.endpoint import MOVE_CHECK_SECONDS, has_idle_peer
+from cornelspan_requests.outcomes import Failure, Reason
 from cornelspan_requests.queue import Ticket
 
 MEAN_SECONDS = 0.05
@@ -149,42 +154,42 @@
 
     def _place(self, job: Job, owner: int) -> int | None:
         site = self.sites[owner]
-        tried = {HERE if at == owner else str(at) for at in job.tried}
+        tried = {LOCAL if at == owner else str(at) for at in job.tried}
         names = [str(at) for at in range(len(self.sites)) if at != owner]
         queue = self.case.policy.queue
         own, loads = _own_load(site), site.loads
         if job.stream.priority == TOP_PRIORITY:
-            own, loads = urgent_view(own, loads)
-        name = best_place(own, loads, names, tried, queue)
+            own, loads = urgent_loads(own, loads)
+        name = choose_destination(own, loads, names, tried, queue)
         if name is None:
             return None
-        if name != HERE:
+        if name != LOCAL:
             site.loads.sent(name)
-        return owner if name == HERE else int(name)
+        return owner if name == LOCAL else int(name)
 
-    def _moves_on(self, job: Job, refusal: Refusal) -> bool:
-        if refusal.reason is Reason.CALLER_SHARE or job.moves >= MOST_MOVES:
+    def _moves_on(self, job: Job, refusal: Failure) -> bool:
+        if refusal.reason is Reason.CALLER_SHARE or job.moves >= MAX_MOVES:
             self._shed(job)
             return False
         job.moves += 1
         return True
 
-    def _offer(self, job: Job, place: int, owner: int) -> Refusal | None:
+    def _offer(self, job: Job, place: int, owner: int) -> Failure | None:
         site = self.sites[place]
         deadline = job.arrived + job.stream.deadline_seconds
         priority = job.stream.priority
         ticket = Ticket(job.caller, priority, deadline, self.now)
         decision = site.admission.offer(ticket, self.case.policy, now=self.now)
-        if decision.refusal is not None:
-            return decision.refusal
+        if decision.rejection is not None:
+            return decision.rejection
         site.jobs[ticket] = job
         if decision.started:
             self._start(site, ticket, owner)
-        for given in decision.given_up:
-            self._give_up(site, given.ticket, given.refusal)
+        for given in decision.shed:
+            self._give_up(site, given.ticket, given.rejection)
         return None
 
-    def _give_up(self, site: Site, ticket: Ticket, refusal: Refusal) -> None:
+    def _give_up(self, site: Site, ticket: Ticket, refusal: Failure) -> None:
         job = site.jobs.pop(ticket)
         if self._moves_on(job, refusal):
             self._dispatch(job, self.sites.index(site))
@@ -201,8 +206,8 @@
         self._count(job, self.now - ticket.started)
         for started in site.admission.finish(ticket, now=self.now):
             self._start(site, started, owner)
-        for given in site.admission.sweep(self.now):
-            self._give_up(site, given.ticket, given.refusal)
+        for given in site.admission.shed_late(self.now):
+            self._give_up(site, given.ticket, given.rejection)
 
     def _count(self, job: Job, elapsed: float) -> None:
         """Count a job that has ended after holding a slot for some time."""
@@ -217,7 +222,7 @@
     def _move_first(self, at: int, site: Site) -> None:
         """Move the first that waits to an endpoint with a free slot, as agents do."""
         tickets = site.admission.queue.tickets
-        if not tickets or self.now - tickets[0].arrived < RECONSIDER_SECONDS:
+        if not tickets or self.now - tickets[0].arrived < MOVE_CHECK_SECONDS:
             return
         if has_idle_peer(peer.load for peer in site.loads.peers.values()):
             ticket = tickets[0]
@@ -280,6 +285,6 @@
 def _own_load(site: Site) -> OwnLoad:
     admission = site.admission
     waiting = len(admission.queue)
-    urgent = admission.queue.up_to(TOP_PRIORITY)
+    urgent = admission.queue.count_up_to(TOP_PRIORITY)
     mean = admission.times.mean
     return OwnLoad(SLOTS, admission.running, waiting, mean, urgent)
--- a/tests/test_passthrough_waiting.py
+++ b/tests/test_passthrough_waiting.py
@@ -1,92 +1,97 @@
-"""The line of requests before a full endpoint."""
+"""The queue of requests in front of an endpoint without free slots."""
 
 from cornelspan_passthrough.flows import FlowTable
-from cornelspan_passthrough.heads import ACK, Head
-from cornelspan_passthrough.urgency import Times, Urgency, times
-from cornelspan_passthrough.waiting import LIMIT, Held, WaitingLine
+from cornelspan_passthrough.packet_headers import ACK, PacketHeader
+from cornelspan_passthrough.request_queue import (
+    MAX_REQUESTS,
+    QueuedRequest,
+    RequestQueue,
+)
+from cornelspan_passthrough.urgency import Deadlines, Urgency, request_deadlines
 from cornelspan_standins.packet_world import PacketWorld
 
 BALANCER = "10.1.0.10"
 AGENT = "10.1.0.11"
 
 
-def held(priority, deadline, target=8.0):
-    return Held(priority, Times(target, deadline), since=0.0)
+def queued(priority, deadline, target=8.0):
+    return QueuedRequest(priority, Deadlines(target, deadline), queued_at=0.0)
 
 
 def test_the_highest_priority_goes_first_then_the_least_time_left():
-    line = WaitingLine()
-    line.hold(1, held(2, 10.0), b"a", 1)
-    line.hold(2, held(1, 12.0), b"b", 1)
-    line.hold(3, held(1, 11.0), b"c", 1)
-    assert [line.take(0.0, 0.1)[0] for _ in range(3)] == [3, 2, 1]
-    assert line.take(0.0, 0.1) is None
+    queue = RequestQueue()
+    queue.push(1, queued(2, 10.0), b"a", 1)
+    queue.push(2, queued(1, 12.0), b"b", 1)
+    queue.push(3, queued(1, 11.0), b"c", 1)
+    assert [queue.pop(0.0, 0.1)[0] for _ in range(3)] == [3, 2, 1]
+    assert queue.pop(0.0, 0.1) is None
 
 
 def test_what_cannot_be_done_in_time_goes_last():
-    line = WaitingLine()
-    line.hold(1, held(0, 1.05), b"a", 1)
-    line.hold(2, held(1, 5.0), b"b", 1)
-    assert [line.take(1.0, 0.1)[0] for _ in range(2)] == [2, 1]
+    queue = RequestQueue()
+    queue.push(1, queued(0, 1.05), b"a", 1)
+    queue.push(2, queued(1, 5.0), b"b", 1)
+    assert [queue.pop(1.0, 0.1)[0] for _ in range(2)] == [2, 1]
 
 
 def test_what_is_late_already_lets_those_pass_that_are_not():
-    """Callers who come after an outage get their answers on time.
+    """Requests that arrive after an outage are answered on time.
 
-    Two requests of the outage's backlog are late whatever happens. By age they would
-    go first, and the two that have just come would be late as well.
+    Two requests of the outage's backlog are late in any case. In the order of age they
+    would run first and make the two new ones late as well.
     """
-    line = WaitingLine()
-    line.hold(1, held(2, 2.0, target=0.9), b"a", 1)
-    line.hold(2, held(2, 2.1, target=0.9), b"b", 1)
-    line.hold(3, held(2, 2.6, target=1.2), b"c", 1)
-    line.hold(4, held(2, 2.5, target=1.2), b"d", 1)
-    assert [line.take(1.0, 0.04)[0] for _ in range(4)] == [4, 3, 1, 2]
+    queue = RequestQueue()
+    queue.push(1, queued(2, 2.0, target=0.9), b"a", 1)
+    queue.push(2, queued(2, 2.1, target=0.9), b"b", 1)
+    queue.push(3, queued(2, 2.6, target=1.2), b"c", 1)
+    queue.push(4, queued(2, 2.5, target=1.2), b"d", 1)
+    assert [queue.pop(1.0, 0.04)[0] for _ in range(4)] == [4, 3, 1, 2]
 
 
 def test_what_a_client_waited_for_its_flow_counts_for_the_first_request_only():
     urgency = Urgency(1, 200, 2000, waited_milliseconds=600)
-    assert times(urgency, 10.0, is_first=True) == Times(9.6, 11.4)
-    assert times(urgency, 10.0, is_first=False) == Times(10.2, 12.0)
+    assert request_deadlines(urgency, 10.0, is_first=True) == Deadlines(9.6, 11.4)
+    assert request_deadlines(urgency, 10.0, is_first=False) == Deadlines(10.2, 12.0)
 
 
 def test_a_late_order_still_goes_before_what_is_worth_less():
-    line = WaitingLine()
-    line.hold(1, held(2, 3.0, target=1.2), b"a", 1)
-    line.hold(2, held(1, 2.0, target=0.5), b"b", 1)
-    assert [line.take(1.0, 0.04)[0] for _ in range(2)] == [2, 1]
+    queue = RequestQueue()
+    queue.push(1, queued(2, 3.0, target=1.2), b"a", 1)
+    queue.push(2, queued(1, 2.0, target=0.5), b"b", 1)
+    assert [queue.pop(1.0, 0.04)[0] for _ in range(2)] == [2, 1]
 
 
 def test_a_request_whose_caller_gave_up_is_never_run():
-    line = WaitingLine()
-    line.hold(1, held(0, 1.0), b"a", 1)
-    assert line.forget_expired(1.5) == [1]
-    assert line.take(1.5, 0.1) is None
-    assert line.expired == 1
+    queue = RequestQueue()
+    queue.push(1, queued(0, 1.0), b"a", 1)
+    assert queue.drop_expired(1.5) == [1]
+    assert queue.pop(1.5, 0.1) is None
+    assert queue.expired == 1
 
 
 def test_repeats_take_no_room():
-    line = WaitingLine()
-    line.hold(1, held(0, 9.0), b"a", 100)
-    line.add(1, b"a", 100)
-    line.add(1, b"b", 200)
-    _, request = line.take(0.0, 0.1)
+    queue = RequestQueue()
+    queue.push(1, queued(0, 9.0), b"a", 100)
+    queue.add_packet(1, b"a", 100)
+    queue.add_packet(1, b"b", 200)
+    _, request = queue.pop(0.0, 0.1)
     assert list(request.packets.values()) == [b"a", b"b"]
-    assert line.repeats == 1
+    assert queue.repeats == 1
 
 
 def test_the_line_is_bounded():
-    line = WaitingLine()
-    for flow in range(LIMIT + 5):
-        line.hold(flow, held(0, 9.0), b"a", 1)
-    assert len(line) == LIMIT
+    queue = RequestQueue()
+    for flow in range(MAX_REQUESTS + 5):
+        queue.push(flow, queued(0, 9.0), b"a", 1)
+    assert len(queue) == MAX_REQUESTS
 
 
 def test_a_crowd_is_served_without_being_shed():
-    """Callers of a crowd get their answers, all of them within their time budget.
+    """All callers of a burst get their answers within their time budgets.
 
-    Forty flows open at one endpoint of two slots and a short queue. It sheds what it
-    can neither run nor queue; the agent holds their requests until there is room.
+    Forty flows open at one endpoint with two slots and a short queue. It would shed
+    what it can neither run nor queue, so the agent queues requests until a slot is
+    free.
     """
     world = PacketWorld(seed=1)
     world.add_agent(AGENT, "orders")
@@ -101,11 +106,11 @@
 
 
 def test_requests_that_are_never_answered_do_not_stop_the_line():
-    """Callers after a few unlucky ones get their answers within a second.
+    """Requests that are never answered do not block the queue.
 
-    The endpoint says nothing to its first requests, as grey ones do, or their clients
-    have gone. Counted as running for good, they would take up all its room and every
-    later request would wait until it is dropped.
+    The endpoint ignores its first three requests, or their clients are gone. If they
+    counted as running for ever, they would use all slots, and every later request would
+    wait until it expires.
     """
     world = PacketWorld(seed=1)
     world.add_agent(AGENT, "orders")
@@ -113,16 +118,16 @@
     endpoint.mute = 3
     world.add_balancer(BALANCER)
     world.run(1.0)
-    unlucky = [world.open_flow(over=BALANCER) for _ in range(3)]
+    first_clients = [world.open_flow(over=BALANCER) for _ in range(3)]
     world.run(0.05)
-    assert all(client.events == ["open"] for client in unlucky)
+    assert all(client.events == ["open"] for client in first_clients)
     clients = [world.open_flow(over=BALANCER) for _ in range(10)]
     world.run(1.0)
     assert all(client.events == ["open", "answer"] for client in clients)
 
 
 def test_a_flow_that_turns_out_foreign_makes_room():
-    """The next request goes out as soon as the endpoint has sent a packet back."""
+    """A slot is free as soon as the endpoint has bounced the packet that used it."""
     world = PacketWorld(seed=1)
     world.add_agent(AGENT, "orders")
     endpoint = world.endpoints[AGENT]
@@ -141,62 +146,63 @@
 
 
 def packet(sequence, length=10):
-    return Head(1, ACK, sequence, 0, length)
+    return PacketHeader(1, ACK, sequence, 0, length)
 
 
 def test_a_request_that_the_endpoint_has_had_before_fills_no_slot():
-    """Callers after a restart of all daemons don't wait behind requests that have run.
+    """Retransmitted requests that have already run use no slot after a restart.
 
-    Answers were lost with the daemons. Clients repeat their requests; the endpoint
-    acknowledges them, does nothing, and sends its answers again by its own clock.
+    All daemons restart and lose answers, so clients retransmit their requests. The
+    endpoint acknowledges them, runs nothing, and retransmits its answers on its own
+    timer.
     """
     table = FlowTable(flow_seconds=60.0)
     owned = table.start(1, "", (0, 0), 0.0)
     owned.is_learned = True
-    table.sent(1, owned, packet(100), 1.0)
+    table.record_sent(1, owned, packet(100), 1.0)
     assert table.running == 1
-    table.answered(1, owned, 0, 1.001)
+    table.record_response(1, owned, 0, 1.001)
     assert table.running == 0
-    assert table.pace_seconds == 0.0
+    assert table.response_seconds == 0.0
 
 
 def test_an_acknowledged_request_still_runs():
-    """Orders keep their place before what is less urgent.
+    """A request keeps its slot when the endpoint acknowledges it before the answer.
 
-    Ends acknowledge every second packet, so each second request of a flow is
-    acknowledged before it is answered. Taken for done, it let more go to the endpoint
-    than it has slots for, and the rest was shed.
+    Ends acknowledge every second packet, so every second request of a flow is
+    acknowledged first. If it counted as done, the endpoint would get more requests than
+    it has slots and shed some.
     """
     table = FlowTable(flow_seconds=60.0)
     owned = table.start(1, "", (0, 0), 0.0)
-    table.sent(1, owned, packet(100), 1.0)
-    table.answered(1, owned, 0, 1.001)
+    table.record_sent(1, owned, packet(100), 1.0)
+    table.record_response(1, owned, 0, 1.001)
     assert table.running == 1
-    table.answered(1, owned, 50, 1.04)
+    table.record_response(1, owned, 50, 1.04)
     assert table.running == 0
 
 
 def test_a_repeat_of_an_answered_request_is_no_work():
     table = FlowTable(flow_seconds=60.0)
     owned = table.start(1, "", (0, 0), 0.0)
-    table.sent(1, owned, packet(0xFFFFFFFA), 1.0)
-    table.answered(1, owned, 50, 1.04)
-    table.sent(1, owned, packet(0xFFFFFFFA), 1.2)
+    table.record_sent(1, owned, packet(0xFFFFFFFA), 1.0)
+    table.record_response(1, owned, 50, 1.04)
+    table.record_sent(1, owned, packet(0xFFFFFFFA), 1.2)
     assert table.running == 0
-    table.sent(1, owned, packet(4), 1.3)
+    table.record_sent(1, owned, packet(4), 1.3)
     assert table.running == 1
 
 
 def test_an_answer_that_comes_before_the_repeat_of_its_request():
-    """Callers after a restart don't wait behind a request that was answered already.
+    """A request that was answered before a restart uses no slot after it.
 
-    The endpoint sends a lost answer again just before its client's repeat comes, which
-    it then only acknowledges.
+    The endpoint retransmits the lost answer just before the client retransmits the
+    request, which the endpoint then only acknowledges.
     """
     table = FlowTable(flow_seconds=60.0)
     owned = table.start(1, "", (0, 0), 0.0)
     owned.is_learned = True
-    table.answered(1, owned, 50, 0.9)
-    table.sent(1, owned, packet(100), 1.0)
-    table.answered(1, owned, 0, 1.001)
+    table.record_response(1, owned, 50, 0.9)
+    table.record_sent(1, owned, packet(100), 1.0)
+    table.record_response(1, owned, 0, 1.001)
     assert table.running == 0
