--- a/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
@@ -109,13 +109,13 @@
         """
         while True:
             await asyncio.sleep(CHECK_SECONDS)
-            if not plane.is_relay and not plane.primary_datacentres():
+            if not plane.is_relay and not plane.datacentres_as_primary():
                 # The agents now report to other relays, and send them everything that
                 # is not sealed yet.
                 self.collectors.clear()
                 continue
             changes = self.update_alerts(int(time.time()) // MINUTE_SECONDS)
-            if plane.primary_datacentres():
+            if plane.datacentres_as_primary():
                 # Both relays of a data centre find the same; only the primary logs it.
                 log_changes(changes, self.burns)
             for collector in list(self.collectors.values()):
--- a/packages/cornelspan-requests/src/cornelspan_requests/reporting.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/reporting.py
@@ -17,7 +17,7 @@
 
     Minutes that the store has are deleted as soon as the relay balancer confirms them.
     """
-    control_plane.on_sealed = counts.seal
+    control_plane.on_counts_stored = counts.seal
     while True:
         await asyncio.sleep(REPORT_SECONDS * random.uniform(0.8, 1.2))
         control_plane.send_to_relays(counts.message(settings.name, settings.service))
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -77,7 +77,7 @@
         announced = Announce(
             name, "agent", "d", incarnation, "h", 1, SERVICE, 1.0, 2, False
         )
-        agent.members.announce(announced)
+        agent.members.record(announced)
         for other in list(self.agents.values()):
             for one, known in ((other, agent), (agent, other)):
                 about = Announce(
@@ -93,7 +93,7 @@
                     False,
                 )
                 delay = self.random.uniform(0, 0.05 if self.loop.time() < 1001 else 1)
-                self.loop.call_later(delay, one.members.announce, about)
+                self.loop.call_later(delay, one.members.record, about)
         agent.begin()
 
     def kill(self, name):
