--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
@@ -37,11 +37,11 @@
     client_address,
     flow_text,
 )
+from cornelspan_passthrough.health import DOWN, DRAINING, Ping, Pong
 from cornelspan_passthrough.histograms import Histogram
 from cornelspan_passthrough.judging import is_ejected, judge_packet, probe_refusal
 from cornelspan_passthrough.lives import end_dead_flow, end_flows, log_endpoint
 from cornelspan_passthrough.members import service_tag
-from cornelspan_passthrough.pulses import DOWN, DRAINING, Ping, Pong
 from cornelspan_passthrough.settings import PassthroughAgentSettings, socket_address
 from cornelspan_passthrough.urgency import MILLISECONDS
 from cornelspan_passthrough.waiting import WaitingLine
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
@@ -26,13 +26,13 @@
     client_address,
     is_address,
 )
+from cornelspan_passthrough.health import AgentHealthTable, Hello, Ping, Pong
 from cornelspan_passthrough.histograms import Histogram
 from cornelspan_passthrough.homes import Homes
 from cornelspan_passthrough.members import AGENT, BALANCER, Member, Members
 from cornelspan_passthrough.openings import Openings
 from cornelspan_passthrough.placing import Choose, choose, takes_flows
 from cornelspan_passthrough.pruning import Silences, is_pruner
-from cornelspan_passthrough.pulses import Hello, Ping, Pong, Pulses
 from cornelspan_passthrough.searches import QUESTIONS_PER_SECOND, Searches
 from cornelspan_passthrough.searching import (
     ask_all,
@@ -85,7 +85,7 @@
         self.silences = Silences()
         self.complaints = complaint_bucket()
         self.questions = TokenBucket(QUESTIONS_PER_SECOND, QUESTIONS_PER_SECOND)
-        self.pulses = Pulses(self.settings.pulse.missed_pings)
+        self.health = AgentHealthTable(self.settings.pulse.missed_pings)
         self.client_port = socket_address(self.settings.packets)[1]
 
     @property
@@ -96,7 +96,7 @@
     def take_settings(self, settings: PassthroughBalancerSettings) -> None:
         """Take in settings that have changed."""
         self.settings = settings
-        self.pulses.missed_pings = settings.pulse.missed_pings
+        self.health.missed_pings = settings.pulse.missed_pings
         self.owners.limit = settings.learned_flows
         set_level(settings.log)
 
@@ -173,8 +173,8 @@
             # The last answer of an agent that has left: taken in, it would be listed
             # again for good.
             return
-        was = self.pulses.of(pong.address).pong
-        is_regained = self.pulses.answered(pong, now)
+        was = self.health.of(pong.address).pong
+        is_regained = self.health.record_pong(pong, now)
         if is_regained:
             log.info("agent regained", extra={"agent": pong.address})
         if self.first_pong_at is None:
@@ -228,8 +228,8 @@
 
     def _gone(self, sender: str) -> None:
         """An agent stops in order: nothing new goes to it from now on."""
-        pulse = self.pulses.of(sender)
-        pulse.unanswered = self.settings.pulse.missed_pings + 1
+        health = self.health.of(sender)
+        health.unanswered_pings = self.settings.pulse.missed_pings + 1
         log.info("agent stops", extra={"agent": sender})
 
     # Membership and state
@@ -246,10 +246,10 @@
 
     def ping_agent(self, address: str, now: float) -> None:
         """Ask an agent how it is."""
-        pulse = self.pulses.of(address)
-        if pulse.pong and pulse.unanswered == self.settings.pulse.missed_pings:
+        health = self.health.of(address)
+        if health.pong and health.unanswered_pings == self.settings.pulse.missed_pings:
             log.info("agent lost", extra={"agent": address})
-        self.pulses.asked(address, now)
+        self.health.record_ping(address, now)
         self.ping(address)
 
     def ping(self, address: str) -> None:
@@ -271,8 +271,8 @@
         if self.stopping or self.routes.configuration is None:
             return False
         return any(
-            self.pulses.is_answering(member.address)
-            and takes_flows(self.pulses.of(member.address))
+            self.health.is_answering(member.address)
+            and takes_flows(self.health.of(member.address))
             for member in self.members.agents()
         )
 
@@ -280,7 +280,7 @@
         """Take in which members answer now and which don't."""
         present: set[str] = {self.settings.address}
         for member in self.members.agents():
-            if self.pulses.is_answering(member.address):
+            if self.health.is_answering(member.address):
                 present.add(member.address)
         for address, heard_at in self.heard_balancers.items():
             if now - heard_at < BALANCER_SILENT_SECONDS:
@@ -313,7 +313,7 @@
         """
         self.members.forget(address)
         self.members.remove(address, self.members.revision)
-        self.pulses.forget(address)
+        self.health.forget(address)
         self.heard_balancers.pop(address, None)
         self.members_changed(now)
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivering.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivering.py
@@ -6,8 +6,8 @@
 from cornelspan_passthrough import hops
 from cornelspan_passthrough.flows import NO_REQUEST, Doubt, OwnedFlow, is_repeat
 from cornelspan_passthrough.heads import RST, Head, address_text, flow_text
+from cornelspan_passthrough.health import DOWN
 from cornelspan_passthrough.judging import judge_lost_requests
-from cornelspan_passthrough.pulses import DOWN
 from cornelspan_passthrough.urgency import times
 from cornelspan_passthrough.waiting import Held
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from cornelspan_passthrough.pulses import DOWN, DRAINING, READY
+from cornelspan_passthrough.health import DOWN, DRAINING, READY
 
 # A report may be late by part of its interval; after 1.8 of them one is surely missing.
 MISSING_REPORTS = 1.8
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
@@ -7,10 +7,10 @@
 from cornelspan_passthrough import hops
 from cornelspan_passthrough.configuration import Route, services_in_order
 from cornelspan_passthrough.heads import Head, flow_text
+from cornelspan_passthrough.health import AgentHealth
 from cornelspan_passthrough.members import service_tag
 from cornelspan_passthrough.openings import CLIENT_SECONDS, HELD_SECONDS, Opening
 from cornelspan_passthrough.placing import REFUSED_SECONDS, Candidate
-from cornelspan_passthrough.pulses import Pulse
 from cornelspan_passthrough.urgency import MILLISECONDS, Urgency
 
 if TYPE_CHECKING:
@@ -99,7 +99,7 @@
     opening.owner = owner
     opening.service = service
     balancer.owners.learn(flow, owner)
-    pulse = balancer.pulses.of(owner)
+    health = balancer.health.of(owner)
     log.info(
         "flow placed",
         extra={
@@ -108,12 +108,12 @@
             "agent": owner,
             "refusals": len(opening.refused),
             "version": balancer.routes.version,
-            "running": pulse.pong.running if pulse.pong else None,
-            "placed": pulse.placed,
-            "age_ms": round((now - pulse.answered_at) * 1000) if pulse.pong else -1,
+            "running": health.pong.running if health.pong else None,
+            "placed": health.placed_flows,
+            "age_ms": round((now - health.last_pong_at) * 1000) if health.pong else -1,
         },
     )
-    pulse.placed += 1
+    health.placed_flows += 1
     balancer.counts["flows_placed"] += 1
     _offer(balancer, opening, route, flow, data, now)
 
@@ -134,20 +134,20 @@
     ]
     if not addresses:
         return bool(balancer.members.revision) and not _members_come(balancer, now)
-    pulses = [balancer.pulses.of(address) for address in addresses]
-    answered = [pulse for pulse in pulses if pulse.pong is not None]
+    health_of_route = [balancer.health.of(address) for address in addresses]
+    answered = [health for health in health_of_route if health.pong is not None]
     has_gathered = (
         balancer.first_pong_at is None
         or now - balancer.first_pong_at > GATHER_SECONDS
-        or len(answered) == len(pulses)
+        or len(answered) == len(health_of_route)
     )
-    return any(has_gathered or _has_room(pulse) for pulse in answered)
+    return any(has_gathered or _has_room(health) for health in answered)
 
 
-def _has_room(pulse: Pulse) -> bool:
+def _has_room(health: AgentHealth) -> bool:
     """Whether an endpoint has a slot for a flow that is placed now."""
-    pong = pulse.pong
-    return pong is not None and pong.running + pulse.placed < pong.capacity
+    pong = health.pong
+    return pong is not None and pong.running + health.placed_flows < pong.capacity
 
 
 def _is_over(opening: Opening, now: float) -> bool:
@@ -195,11 +195,11 @@
     Agents that don't answer come last, not never: with all of them silent it may be
     this balancer that heard nothing.
     """
-    for is_wanted in (balancer.pulses.is_answering, lambda address: True):
+    for is_wanted in (balancer.health.is_answering, lambda address: True):
         for service in services_in_order(route, flow):
             addresses = balancer.by_service.get(service, [])
             candidates = [
-                Candidate(address, balancer.pulses.of(address))
+                Candidate(address, balancer.health.of(address))
                 for address in addresses
                 if address not in tried and is_wanted(address)
             ]
@@ -264,7 +264,7 @@
         opening.busy.add(sender)
     else:
         opening.refused.add(sender)
-    balancer.pulses.of(sender).refused_until = now + REFUSED_SECONDS
+    balancer.health.of(sender).refused_until = now + REFUSED_SECONDS
     if opening.tries >= OPEN_TRIES:
         _refuse(balancer, note.flow, "turned away", refusals=opening.tries)
         return
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/following.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/following.py
@@ -113,7 +113,7 @@
                     balancer.members.put(member, found.revision)
                 for address in found.removed:
                     balancer.members.remove(address, found.revision)
-                    balancer.pulses.forget(address)
+                    balancer.health.forget(address)
                 if found.changed or found.removed:
                     members_are(balancer, now())
                     await asyncio.sleep(MEMBERS_PAUSE_SECONDS)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/greeting.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/greeting.py
@@ -6,9 +6,9 @@
 import msgspec
 
 from cornelspan_passthrough.datagrams import DatagramSocket
+from cornelspan_passthrough.health import Hello
 from cornelspan_passthrough.hops import HELLO
 from cornelspan_passthrough.members import Member
-from cornelspan_passthrough.pulses import Hello
 from cornelspan_passthrough.settings import PassthroughSettings, socket_address
 
 HELLO_SECONDS = 1.0
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/hops.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/hops.py
@@ -12,7 +12,7 @@
     UNKNOWN   home to balancer     no owner is recorded
     PASSED    home to owner        a packet found for a balancer, whose address it names
     RECORD    owner to homes       remember the owner
-    PING, PONG, HELLO, GONE        state of the daemons, see ``pulses``
+    PING, PONG, HELLO, GONE        state of the daemons, see ``health``
 
 Packets are forwarded without being built anew, so a hop costs one concatenation.
 """
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/lives.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/lives.py
@@ -5,7 +5,7 @@
 from cornelspan_common.logs import get_log
 from cornelspan_passthrough.flows import OwnedFlow
 from cornelspan_passthrough.heads import client_address, flow_text
-from cornelspan_passthrough.pulses import DOWN, DRAINING, READY
+from cornelspan_passthrough.health import DOWN, DRAINING, READY
 
 if TYPE_CHECKING:
     from cornelspan_passthrough.agent import Agent
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/placing.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/placing.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from cornelspan_passthrough.pulses import DOWN, DRAINING, Pong, Pulse
+from cornelspan_passthrough.health import DOWN, DRAINING, AgentHealth, Pong
 
 # A flow that is open but idle now will send again; in these terms it weighs a fifth of
 # a request that runs.
@@ -36,7 +36,7 @@
     """An endpoint that may take a flow: its agent's address and pulse."""
 
     address: str
-    pulse: Pulse
+    health: AgentHealth
 
 
 Choose = Callable[[Iterable[Candidate], random.Random, float], str]
@@ -50,62 +50,63 @@
     """
     best = ""
     best_cost = (False, 0.0, 0.0)
-    candidates = [each for each in candidates if takes_flows(each.pulse)]
-    ejected = sum(1 for each in candidates if is_ejected(each.pulse))
+    candidates = [each for each in candidates if takes_flows(each.health)]
+    ejected = sum(1 for each in candidates if is_ejected(each.health))
     passes_over = ejected <= EJECTED_SHARE * len(candidates)
-    usual = usual_pace(candidates)
+    median = median_service_time(candidates)
     for candidate in candidates:
-        pulse = candidate.pulse
-        is_last = pulse.refused_until > now or (passes_over and is_ejected(pulse))
-        found = (is_last, cost(pulse, usual), chance.random())
+        health = candidate.health
+        is_last = health.refused_until > now or (passes_over and is_ejected(health))
+        found = (is_last, cost(health, median), chance.random())
         if not best or found < best_cost:
             best = candidate.address
             best_cost = found
     return best
 
 
-def takes_flows(pulse: Pulse) -> bool:
+def takes_flows(health: AgentHealth) -> bool:
     """Whether an endpoint may take a flow, as far as its last word goes.
 
     One that has not spoken yet may: after a loss of power the first flows would
     otherwise wait for the first reports, and an agent whose endpoint is not there yet
     hands a first packet back.
     """
-    return pulse.pong is None or pulse.pong.state not in (DRAINING, DOWN)
+    return health.pong is None or health.pong.state not in (DRAINING, DOWN)
 
 
-def is_ejected(pulse: Pulse) -> bool:
+def is_ejected(health: AgentHealth) -> bool:
     """Whether an endpoint fails what it is sent, as its agent has last said."""
-    return pulse.pong is not None and pulse.pong.is_ejected
+    return health.pong is not None and health.pong.is_ejected
 
 
-def usual_pace(candidates: list[Candidate]) -> float:
+def median_service_time(candidates: list[Candidate]) -> float:
     """Return the middle of the endpoints' paces in milliseconds, 0 if none is known."""
     known = sorted(
-        each.pulse.pong.pace_milliseconds
+        each.health.pong.service_time_milliseconds
         for each in candidates
-        if each.pulse.pong is not None and each.pulse.pong.pace_milliseconds > 0
+        if each.health.pong is not None
+        and each.health.pong.service_time_milliseconds > 0
     )
     return known[(len(known) - 1) // 2] if known else 0
 
 
-def cost(pulse: Pulse, usual: float = 0) -> float:
+def cost(health: AgentHealth, median: float = 0) -> float:
     """Return how long a new request would take at an endpoint beyond its own run.
 
     Args:
         pulse: The endpoint's.
         usual: The pace of its like in milliseconds, which is the unit; 0 if not known.
     """
-    pong = pulse.pong
+    pong = health.pong
     if pong is None:
-        return PLACED_WEIGHT * pulse.placed / DEFAULT_CAPACITY
+        return PLACED_WEIGHT * health.placed_flows / DEFAULT_CAPACITY
     idle = max(0, pong.flows - pong.running)
-    load = pong.running + IDLE_FLOW_WEIGHT * idle + PLACED_WEIGHT * pulse.placed
+    load = pong.running + IDLE_FLOW_WEIGHT * idle + PLACED_WEIGHT * health.placed_flows
     per_slot = load / max(1, pong.capacity)
-    return (per_slot + 1) * slowness(pong, usual) - 1
+    return (per_slot + 1) * slowdown(pong, median) - 1
 
 
-def slowness(pong: Pong, usual: float) -> float:
+def slowdown(pong: Pong, median: float) -> float:
     """Return how many times the usual an endpoint takes for a request.
 
     Paces differ by what an endpoint happened to get of late. Only one that is far from
@@ -113,6 +114,6 @@
     endpoint in its cold start counts by its pace, too: weighed by what it reports of
     its start, flows went to its busier peers and no caller was better off.
     """
-    if not usual or pong.pace_milliseconds < SLOW_RATIO * usual:
+    if not median or pong.service_time_milliseconds < SLOW_RATIO * median:
         return 1.0
-    return pong.pace_milliseconds / usual
+    return pong.service_time_milliseconds / median
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
@@ -14,12 +14,12 @@
 from cornelspan_passthrough.delivering import release
 from cornelspan_passthrough.endpoint import Hearing, Life, Report
 from cornelspan_passthrough.greeting import greet
+from cornelspan_passthrough.health import DOWN
 from cornelspan_passthrough.hops import GONE
 from cornelspan_passthrough.http import http_answers, http_server
 from cornelspan_passthrough.listing import list_member
 from cornelspan_passthrough.members import AGENT, Member
 from cornelspan_passthrough.metrics import agent_page
-from cornelspan_passthrough.pulses import DOWN
 from cornelspan_passthrough.reading import reading
 from cornelspan_passthrough.reloading import Orders, follow_settings
 from cornelspan_passthrough.settings import PassthroughAgentSettings
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
@@ -35,7 +35,7 @@
 TICK_SECONDS = 0.02
 # How soon an agent that comes up is noticed after a common loss of power; clients'
 # first packets wait for it.
-NEWCOMER_SECONDS = 0.05
+FAST_PING_SECONDS = 0.05
 # Routers notice a balancer that leaves by two missed probes, half a second apart.
 ROUTERS_SECONDS = 1.5
 QUIET_SECONDS = 0.5
@@ -138,23 +138,23 @@
     suspensions = Suspensions()
     loop_time = asyncio.get_running_loop().time
     while True:
-        pulse = balancer.settings.pulse
+        policy = balancer.settings.pulse
         addresses = _others(balancer)
-        least = pulse.interval_milliseconds / 1000
-        interval = max(least, len(addresses) / pulse.pings_per_second)
+        least = policy.interval_milliseconds / 1000
+        interval = max(least, len(addresses) / policy.pings_per_second)
         began = time.monotonic()
         if suspensions.has_been_suspended():
             log.warning("this VM was suspended")
-            balancer.pulses.doubt_nothing()
+            balancer.health.clear_unanswered_pings()
         for address, is_agent in addresses:
             if is_agent:
                 balancer.ping_agent(address, loop_time())
             else:
                 balancer.ping(address)
         while time.monotonic() - began < interval:
-            await asyncio.sleep(NEWCOMER_SECONDS)
+            await asyncio.sleep(FAST_PING_SECONDS)
             agents = [address for address, is_agent in _others(balancer) if is_agent]
-            for address in balancer.pulses.newcomers(agents):
+            for address in balancer.health.unseen_agents(agents):
                 balancer.ping_agent(address, loop_time())
 
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/searching.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/searching.py
@@ -39,7 +39,7 @@
     search.asked_at = now
     while search.homes:
         home = search.homes.pop(0)
-        if balancer.pulses.is_answering(home):
+        if balancer.health.is_answering(home):
             balancer.send(home, hops.encode_packet(hops.FIND, search.packet))
             return
     search.is_queued = True
@@ -137,7 +137,7 @@
     """
     if not balancer.members.is_whole:
         return
-    if not search.is_exhausted(lambda address: balancer.pulses.is_lost(address, now)):
+    if not search.is_exhausted(lambda address: balancer.health.is_lost(address, now)):
         return
     if not balancer.agents <= search.asked:
         # An agent has come to be known since; it has not been asked.
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/settings.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/settings.py
@@ -26,7 +26,7 @@
     calls_per_second: Annotated[float, Meta(gt=0, le=1000)] = 20.0
 
 
-class PulseSettings(Checked, frozen=True, kw_only=True):
+class HealthCheckSettings(Checked, frozen=True, kw_only=True):
     """How daemons watch one another.
 
     A balancer asks each agent every ``interval_milliseconds`` at the least, and no more
@@ -59,7 +59,7 @@
     seeds: tuple[SocketText, ...] = ()
     metrics_port: Port | None = None
     log: LogSettings = LogSettings()
-    pulse: PulseSettings = PulseSettings()
+    pulse: HealthCheckSettings = HealthCheckSettings()
     flow_seconds: Annotated[float, Meta(gt=0, le=86_400)] = 60.0
     grace_seconds: Annotated[float, Meta(gt=0, le=600)] = 6.0
 
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_policies.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_policies.py
@@ -32,7 +32,7 @@
     candidates: Iterable[Candidate], chance: random.Random, now: float
 ) -> str:
     """Choose any endpoint that takes flows."""
-    addresses = [each.address for each in candidates if takes_flows(each.pulse)]
+    addresses = [each.address for each in candidates if takes_flows(each.health)]
     return chance.choice(addresses) if addresses else ""
 
 
@@ -42,9 +42,9 @@
     """Choose the endpoint with the fewest open flows, busy or not."""
     best = min(
         (
-            (each.pulse.pong.flows if each.pulse.pong else 0, chance.random(), each)
+            (each.health.pong.flows if each.health.pong else 0, chance.random(), each)
             for each in candidates
-            if takes_flows(each.pulse)
+            if takes_flows(each.health)
         ),
         default=None,
         key=lambda found: found[:2],
--- a/packages/cornelspan-standins/src/cornelspan_standins/packet_world.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/packet_world.py
@@ -25,7 +25,7 @@
 from cornelspan_passthrough.endpoint import Life, Report
 from cornelspan_passthrough.heads import route_number
 from cornelspan_passthrough.members import AGENT, BALANCER, Member
-from cornelspan_passthrough.running_balancer import NEWCOMER_SECONDS
+from cornelspan_passthrough.running_balancer import FAST_PING_SECONDS
 from cornelspan_passthrough.settings import (
     ObjectStoreSettings,
     PassthroughAgentSettings,
@@ -323,9 +323,9 @@
     def _ping_newcomers(self) -> None:
         for balancer in self._awake(self.balancers):
             agents = [member.address for member in balancer.members.agents()]
-            for address in balancer.pulses.newcomers(agents):
+            for address in balancer.health.unseen_agents(agents):
                 balancer.ping_agent(address, self.now)
-        self.after(NEWCOMER_SECONDS, self._ping_newcomers)
+        self.after(FAST_PING_SECONDS, self._ping_newcomers)
 
     def _report(self) -> None:
         for address, endpoint in self.endpoints.items():
--- a/tests/test_passthrough_endpoint.py
+++ b/tests/test_passthrough_endpoint.py
@@ -3,7 +3,7 @@
 import pytest
 
 from cornelspan_passthrough.endpoint import Endpoint, Hearing, Life, Report
-from cornelspan_passthrough.pulses import DOWN, DRAINING, READY
+from cornelspan_passthrough.health import DOWN, DRAINING, READY
 
 
 def report(
--- a/tests/test_passthrough_judging.py
+++ b/tests/test_passthrough_judging.py
@@ -3,8 +3,8 @@
 import pytest
 
 from cornelspan_common.ejection import Standing
+from cornelspan_passthrough.health import READY, AgentHealth, Pong
 from cornelspan_passthrough.placing import EJECTED_SHARE, Candidate, choose
-from cornelspan_passthrough.pulses import READY, Pong, Pulse
 from cornelspan_standins.packet_world import PacketWorld
 
 BALANCERS = ("10.1.0.10", "10.2.0.10")
@@ -100,11 +100,11 @@
 
 
 def candidates(ejected, count=6):
-    def pulse(number):
+    def health(number):
         pong = Pong("", "", "orders", READY, 2, 0, 0, number < ejected)
-        return Pulse(pong=pong)
+        return AgentHealth(pong=pong)
 
-    return [Candidate(str(number), pulse(number)) for number in range(count)]
+    return [Candidate(str(number), health(number)) for number in range(count)]
 
 
 def test_ejected_endpoints_come_last_but_not_if_too_many_are(world):
--- a/tests/test_passthrough_members.py
+++ b/tests/test_passthrough_members.py
@@ -46,4 +46,4 @@
     balancer.forget_member(told.address, world.now)
     assert balancer.members.get(told.address) is None
     assert told.address not in balancer.by_service["orders"]
-    assert told.address not in balancer.pulses.by_address
+    assert told.address not in balancer.health.by_address
--- a/tests/test_passthrough_placing.py
+++ b/tests/test_passthrough_placing.py
@@ -4,37 +4,41 @@
 
 from cornelspan_passthrough.flows import FlowTable
 from cornelspan_passthrough.heads import ACK, Head
+from cornelspan_passthrough.health import DOWN, DRAINING, READY, AgentHealth, Pong
 from cornelspan_passthrough.placing import Candidate, choose
-from cornelspan_passthrough.pulses import DOWN, DRAINING, READY, Pong, Pulse
 from cornelspan_standins.packet_world import PacketWorld
 
 BALANCER = "10.1.0.10"
 
 
-def pulse(state=READY, capacity=2, running=0, flows=0, pace=0, **more):
-    pong = Pong("", "hall", "orders", state, capacity, running, flows, False, pace)
-    return Pulse(pong=pong, **more)
+def health(state=READY, capacity=2, running=0, flows=0, service_time=0, **more):
+    pong = Pong(
+        "", "hall", "orders", state, capacity, running, flows, False, service_time
+    )
+    return AgentHealth(pong=pong, **more)
 
 
-def chosen(**pulses):
-    candidates = [Candidate(name, each) for name, each in pulses.items()]
+def chosen(**by_name):
+    candidates = [Candidate(name, each) for name, each in by_name.items()]
     return choose(candidates, random.Random(1), now=10.0)
 
 
 def test_the_least_busy_takes_it():
-    assert chosen(a=pulse(running=2), b=pulse(running=1)) == "b"
+    assert chosen(a=health(running=2), b=health(running=1)) == "b"
 
 
 def test_more_slots_carry_more():
-    assert chosen(a=pulse(running=1, capacity=1), b=pulse(running=2, capacity=4)) == "b"
+    assert (
+        chosen(a=health(running=1, capacity=1), b=health(running=2, capacity=4)) == "b"
+    )
 
 
 def test_idle_flows_count_for_less_than_running_requests():
-    assert chosen(a=pulse(flows=3), b=pulse(running=1, flows=1)) == "a"
+    assert chosen(a=health(flows=3), b=health(running=1, flows=1)) == "a"
 
 
 def test_flows_on_their_way_count():
-    assert chosen(a=pulse(placed=2), b=pulse(running=1)) == "b"
+    assert chosen(a=health(placed_flows=2), b=health(running=1)) == "b"
 
 
 def test_a_slow_endpoint_that_is_idle_takes_less_than_a_busy_sound_one():
@@ -42,18 +46,27 @@
 
     In its own paces a slow endpoint has as little to do as a sound one, or less.
     """
-    sound = {"b": pulse(running=4, pace=50), "c": pulse(running=5, pace=60)}
-    assert chosen(a=pulse(pace=400), **sound) == "b"
+    sound = {
+        "b": health(running=4, service_time=50),
+        "c": health(running=5, service_time=60),
+    }
+    assert chosen(a=health(service_time=400), **sound) == "b"
 
 
 def test_paces_that_differ_by_chance_do_not_count():
-    paces = {"b": pulse(running=1, pace=50), "c": pulse(running=1, pace=40)}
-    assert chosen(a=pulse(pace=70), **paces) == "a"
+    paces = {
+        "b": health(running=1, service_time=50),
+        "c": health(running=1, service_time=40),
+    }
+    assert chosen(a=health(service_time=70), **paces) == "a"
 
 
 def test_an_endpoint_of_unknown_pace_is_taken_for_a_usual_one():
-    paces = {"b": pulse(running=1, pace=50), "c": pulse(running=1, pace=40)}
-    assert chosen(a=pulse(pace=0), **paces) == "a"
+    paces = {
+        "b": health(running=1, service_time=50),
+        "c": health(running=1, service_time=40),
+    }
+    assert chosen(a=health(service_time=0), **paces) == "a"
 
 
 def request(flows, number, at):
@@ -85,12 +98,12 @@
 
 
 def test_who_leaves_or_is_down_takes_nothing():
-    assert chosen(a=pulse(state=DRAINING), b=pulse(state=DOWN)) == ""
+    assert chosen(a=health(state=DRAINING), b=health(state=DOWN)) == ""
 
 
 def test_who_has_just_refused_comes_last_not_never():
-    refusing = pulse(refused_until=10.2)
-    assert chosen(a=refusing, b=pulse(running=2)) == "b"
+    refusing = health(refused_until=10.2)
+    assert chosen(a=refusing, b=health(running=2)) == "b"
     assert chosen(a=refusing) == "a"
 
 
@@ -175,7 +188,7 @@
     for _ in range(12):
         world.open_flow(over=BALANCER)
     world.run(0.02)
-    world.balancers["10.2.0.10"].pulses.of(second).placed = 50
+    world.balancers["10.2.0.10"].health.of(second).placed_flows = 50
     clients = [world.open_flow(over="10.2.0.10") for _ in range(4)]
     world.run(0.05)
     assert all(client.events == ["open"] for client in clients)
