--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
@@ -223,7 +223,7 @@
             return
         self.pinged_at = now
         self.balancers.add(sender)
-        if ping.listed:
+        if ping.is_registered:
             self.unlisted_at = None
         elif self.unlisted_at is None:
             self.unlisted_at = now
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
@@ -31,18 +31,18 @@
 from cornelspan_passthrough.homes import Homes
 from cornelspan_passthrough.members import AGENT, BALANCER, Member, Members
 from cornelspan_passthrough.openings import Openings
-from cornelspan_passthrough.placing import Choose, choose, takes_flows
-from cornelspan_passthrough.pruning import Silences, is_pruner
-from cornelspan_passthrough.searches import QUESTIONS_PER_SECOND, Searches
-from cornelspan_passthrough.searching import (
-    ask_all,
-    ask_newcomer,
-    ask_next,
-    end_if_dead,
+from cornelspan_passthrough.owner_search import (
     find_owner,
-    owner_denied,
-    owner_found,
+    handle_owner_denied,
+    handle_owner_found,
+    query_all_agents,
+    query_next_home,
+    query_returned_agent,
+    reset_if_dead,
 )
+from cornelspan_passthrough.placing import Choose, choose, takes_flows
+from cornelspan_passthrough.pruning import Silences, is_pruner
+from cornelspan_passthrough.searches import QUERIES_PER_SECOND, Searches
 from cornelspan_passthrough.settings import PassthroughBalancerSettings, socket_address
 
 NOTES = (hops.REFUSED, hops.NOT_HERE, hops.OWNED, hops.UNKNOWN, hops.MAYBE)
@@ -84,7 +84,7 @@
         self.search_times = Histogram()
         self.silences = Silences()
         self.complaints = complaint_bucket()
-        self.questions = TokenBucket(QUESTIONS_PER_SECOND, QUESTIONS_PER_SECOND)
+        self.query_budget = TokenBucket(QUERIES_PER_SECOND, QUERIES_PER_SECOND)
         self.health = AgentHealthTable(self.settings.pulse.missed_pings)
         self.client_port = socket_address(self.settings.packets)[1]
 
@@ -149,13 +149,13 @@
         if note.kind == hops.OWNED:
             owner = address_text(note.agent)
             self.openings.confirm(note.flow, owner)
-            owner_found(self, note.flow, owner, now)
+            handle_owner_found(self, note.flow, owner, now)
         elif note.kind == hops.UNKNOWN:
             search = self.searches.get(note.flow)
-            if search is not None and not search.asked:
-                ask_next(self, note.flow, search, now)
+            if search is not None and not search.queried:
+                query_next_home(self, note.flow, search, now)
         elif note.kind == hops.NOT_HERE:
-            owner_denied(self, note.flow, sender, note.packet, now)
+            handle_owner_denied(self, note.flow, sender, note.packet, now)
         elif note.kind == hops.MAYBE:
             search = self.searches.get(note.flow)
             if search is not None:
@@ -181,12 +181,12 @@
             self.first_pong_at = now
         if is_regained or was is None:
             place_held(self, now)
-            ask_newcomer(self, pong.address)
+            query_returned_agent(self, pong.address)
         if was is None or was.state != pong.state:
             extra = {"agent": pong.address, "state": pong.state}
             log.info("agent's endpoint changed", extra=extra)
         member = Member(pong.address, AGENT, pong.datacentre, pong.service)
-        if self.members.tell(member):
+        if self.members.add_announced(member):
             self.members_changed(now)
 
     def _ping(self, data: bytes, now: float) -> None:
@@ -202,7 +202,7 @@
             self.newest_peer = ping.address
         if self.members.get(ping.address) is None:
             member = Member(ping.address, BALANCER, "", "")
-            self.members.tell(member)
+            self.members.add_announced(member)
 
     def _hello(self, data: bytes, sender: str, now: float) -> None:
         try:
@@ -216,7 +216,7 @@
         member = Member(hello.address, hello.role, hello.datacentre, hello.service)
         if member.role == AGENT:
             self.ping_agent(member.address, now)
-        if not self.members.tell(member):
+        if not self.members.add_announced(member):
             return
         log.info("daemon spoke up", extra={"address": hello.address})
         self.members_changed(now)
@@ -258,7 +258,7 @@
         ping = Ping(
             self.settings.address,
             self.routes.version,
-            address in self.members.listed or not self.members.revision,
+            address in self.members.registered or not self.members.revision,
         )
         self.send(address, bytes((hops.PING,)) + msgspec.msgpack.encode(ping))
 
@@ -311,7 +311,7 @@
         One that only ever spoke for itself has no entry whose removal would be heard
         of; it would be pinged, and waited for in searches, for ever.
         """
-        self.members.forget(address)
+        self.members.remove_announced(address)
         self.members.remove(address, self.members.revision)
         self.health.forget(address)
         self.heard_balancers.pop(address, None)
@@ -322,12 +322,12 @@
         for flow in self.searches.overdue(now):
             search = self.searches.get(flow)
             if search is not None:
-                ask_next(self, flow, search, now)
+                query_next_home(self, flow, search, now)
         for flow, search in list(self.searches.by_flow.items()):
             if search.is_queued:
-                ask_all(self, flow, search, now)
-            end_if_dead(self, flow, search, now)
-        self.searches.sweep(now)
+                query_all_agents(self, flow, search, now)
+            reset_if_dead(self, flow, search, now)
+        self.searches.remove_expired(now)
         place_held(self, now)
         self.openings.sweep(now)
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/following.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/following.py
@@ -108,7 +108,7 @@
             case Ok(found):
                 complain(balancer, found.unreadable)
                 for each in found.unreadable:
-                    balancer.members.lose_entry(each.name)
+                    balancer.members.mark_unreadable(each.name)
                 for member in found.changed:
                     balancer.members.put(member, found.revision)
                 for address in found.removed:
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/health.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/health.py
@@ -25,7 +25,7 @@
 
     address: str
     version: int
-    listed: bool
+    is_registered: bool
 
 
 class Pong(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/members.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/members.py
@@ -29,15 +29,16 @@
 class Members:
     """All known daemons by address.
 
-    ``revision`` is the store's when the listing was read, 0 before the first. ``told``
-    holds those that spoke for themselves and are not listed (yet). ``is_whole`` says
-    that a whole listing is known, from the store or from a peer that has read it.
+    ``revision`` is the store's revision of the last full list, 0 before the first one.
+    ``announced`` holds members that announced themselves and have no entry yet.
+    ``is_complete`` says that all members are known, from the store or from a peer that
+    has read them.
     """
 
-    listed: dict[str, Member] = field(default_factory=dict)
-    told: dict[str, Member] = field(default_factory=dict)
+    registered: dict[str, Member] = field(default_factory=dict)
+    announced: dict[str, Member] = field(default_factory=dict)
     revision: int = 0
-    is_whole: bool = False
+    is_complete: bool = False
 
     def replace(
         self, members: list[Member], revision: int, unreadable: Iterable[str] = ()
@@ -52,36 +53,36 @@
         if revision < self.revision:
             return False
         for address in unreadable:
-            self.lose_entry(address)
-        self.listed = {member.address: member for member in members}
+            self.mark_unreadable(address)
+        self.registered = {member.address: member for member in members}
         self.revision = revision
-        self.is_whole = True
-        self._forget_told()
+        self.is_complete = True
+        self._drop_registered_announcements()
         return True
 
     def put(self, member: Member, revision: int) -> None:
         """Take in a listed member that has come or changed."""
-        self.listed[member.address] = member
+        self.registered[member.address] = member
         self.revision = max(self.revision, revision)
-        self._forget_told()
+        self._drop_registered_announcements()
 
-    def lose_entry(self, address: str) -> None:
+    def mark_unreadable(self, address: str) -> None:
         """Take in that a member's entry was overwritten by what can't be read.
 
         The daemon itself may be well. Taken off the list, it would no longer be asked
         for its flows, and these would seem dead and be reset. So it stays until it is
         silent for long; told by the pings that it is not listed, it lists itself anew.
         """
-        member = self.listed.pop(address, None)
+        member = self.registered.pop(address, None)
         if member is not None:
-            self.told.setdefault(address, member)
+            self.announced.setdefault(address, member)
 
     def remove(self, address: str, revision: int) -> None:
         """Take in that a member is no longer listed."""
-        self.listed.pop(address, None)
+        self.registered.pop(address, None)
         self.revision = max(self.revision, revision)
 
-    def tell(self, member: Member) -> bool:
+    def add_announced(self, member: Member) -> bool:
         """Take in what a daemon says of itself; return whether that is news.
 
         An address that another service has taken over is known here from its new owner
@@ -89,20 +90,20 @@
         """
         if self.get(member.address) == member:
             return False
-        self.told[member.address] = member
+        self.announced[member.address] = member
         return True
 
-    def forget(self, address: str) -> None:
+    def remove_announced(self, address: str) -> None:
         """Forget what a daemon said of itself."""
-        self.told.pop(address, None)
+        self.announced.pop(address, None)
 
     def get(self, address: str) -> Member | None:
         """Return the member at an address; its own word goes before the listing."""
-        return self.told.get(address) or self.listed.get(address)
+        return self.announced.get(address) or self.registered.get(address)
 
     def all(self) -> list[Member]:
         """Return all members."""
-        return list({**self.listed, **self.told}.values())
+        return list({**self.registered, **self.announced}.values())
 
     def agents(self) -> list[Member]:
         """Return all agents."""
@@ -112,10 +113,10 @@
         """Return all balancers."""
         return [member for member in self.all() if member.role == BALANCER]
 
-    def _forget_told(self) -> None:
-        for address, member in list(self.told.items()):
-            if self.listed.get(address) == member:
-                del self.told[address]
+    def _drop_registered_announcements(self) -> None:
+        for address, member in list(self.announced.items()):
+            if self.registered.get(address) == member:
+                del self.announced[address]
 
 
 def service_tag(service: str) -> int:
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/searching.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/owner_search.py
@@ -16,13 +16,13 @@
 
 
 def find_owner(balancer: "Balancer", head: Head, data: bytes, now: float) -> None:
-    """Begin a search for a packet's flow, or keep the packet for the one under way."""
+    """Start a search for a packet's flow, or add the packet to a running one."""
     search = balancer.searches.get(head.flow)
     if search is not None:
-        search.keep(data)
-        missing = search.asked - search.without
-        if missing and balancer.questions.take(len(missing), now):
-            _ask(balancer, head.flow, missing)
+        search.hold(data)
+        unanswered = search.queried - search.denied_by
+        if unanswered and balancer.query_budget.take(len(unanswered), now):
+            _send_queries(balancer, head.flow, unanswered)
         return
     if head.flags & RST:
         balancer.counts["strays"] += 1
@@ -31,87 +31,91 @@
     search = Search(data, head.acknowledged, now, homes)
     balancer.searches.start(head.flow, search)
     balancer.counts["searches"] += 1
-    ask_next(balancer, head.flow, search, now)
+    query_next_home(balancer, head.flow, search, now)
 
 
-def ask_next(balancer: "Balancer", flow: int, search: Search, now: float) -> None:
+def query_next_home(
+    balancer: "Balancer", flow: int, search: Search, now: float
+) -> None:
     """Ask the flow's next home that answers, or all agents after the last."""
-    search.asked_at = now
-    while search.homes:
-        home = search.homes.pop(0)
+    search.queried_at = now
+    while search.remaining_homes:
+        home = search.remaining_homes.pop(0)
         if balancer.health.is_answering(home):
             balancer.send(home, hops.encode_packet(hops.FIND, search.packet))
             return
     search.is_queued = True
-    ask_all(balancer, flow, search, now)
+    query_all_agents(balancer, flow, search, now)
 
 
-def ask_all(balancer: "Balancer", flow: int, search: Search, now: float) -> None:
+def query_all_agents(
+    balancer: "Balancer", flow: int, search: Search, now: float
+) -> None:
     """Ask all agents, as soon as the rate of questions allows."""
     agents = [member.address for member in balancer.members.agents()]
-    if not agents or not balancer.questions.take(len(agents), now):
+    if not agents or not balancer.query_budget.take(len(agents), now):
         return
     search.is_queued = False
-    search.asked = frozenset(agents)
+    search.queried = frozenset(agents)
     log.info(
         "owner asked of all",
         extra={"flow": flow_text(flow), "agents": len(agents)},
     )
-    _ask(balancer, flow, search.asked)
+    _send_queries(balancer, flow, search.queried)
 
 
-def _ask(balancer: "Balancer", flow: int, agents: Iterable[str]) -> None:
+def _send_queries(balancer: "Balancer", flow: int, agents: Iterable[str]) -> None:
     for address in agents:
         balancer.send(address, hops.encode_note(hops.ASK, flow))
 
 
-def ask_newcomer(balancer: "Balancer", address: str) -> None:
+def query_returned_agent(balancer: "Balancer", address: str) -> None:
     """Ask an agent that has just come up what it was asked in vain before."""
     for flow, search in balancer.searches.by_flow.items():
-        if address in search.asked and address not in search.without:
-            _ask(balancer, flow, [address])
+        if address in search.queried and address not in search.denied_by:
+            _send_queries(balancer, flow, [address])
 
 
-def owner_found(balancer: "Balancer", flow: int, owner: str, now: float) -> None:
+def handle_owner_found(balancer: "Balancer", flow: int, owner: str, now: float) -> None:
     """Send what has waited to the owner; a home has passed the first packet on."""
     balancer.owners.learn(flow, owner)
     search = balancer.searches.end(flow)
     if search is None:
         return
     balancer.search_times.observe(now - search.started_at)
-    if search.asked:
-        _correct_homes(balancer, flow, owner)
+    if search.queried:
+        _update_homes(balancer, flow, owner)
         balancer.send(owner, hops.encode_packet(hops.DELIVER, search.packet))
-    for packet in search.waiting:
+    for packet in search.held_packets:
         balancer.send(owner, hops.encode_packet(hops.DELIVER, packet))
 
 
-def _correct_homes(balancer: "Balancer", flow: int, owner: str) -> None:
+def _update_homes(balancer: "Balancer", flow: int, owner: str) -> None:
     """Have the homes record the owner that they did not know."""
     agent = int(IPv4Address(owner))
     for home in balancer.homes.of(flow):
         balancer.send(home, hops.encode_note(hops.RECORD, flow, agent=agent))
 
 
-def owner_denied(
+def handle_owner_denied(
     balancer: "Balancer", flow: int, agent: str, packet: bytes, now: float
 ) -> None:
     """Take in that an agent's endpoint doesn't hold a flow."""
     search = balancer.searches.get(flow)
     if search is None:
-        _lost_owner(balancer, flow, agent, packet, now)
+        _restart_search(balancer, flow, agent, packet, now)
         return
-    search.without.add(agent)
-    if not search.asked and not search.is_queued:
+    search.denied_by.add(agent)
+    if not search.queried and not search.is_queued:
         # A home named this agent. Asked again, homes would name it again: a first
         # packet that two endpoints answered leaves the record of whichever spoke
         # last, and the client takes up either.
-        search.homes.clear()
-        ask_next(balancer, flow, search, now)
-    end_if_dead(balancer, flow, search, now)
+        search.remaining_homes.clear()
+        query_next_home(balancer, flow, search, now)
+    reset_if_dead(balancer, flow, search, now)
 
 
-def _lost_owner(
+def _restart_search(
     balancer: "Balancer", flow: int, agent: str, packet: bytes, now: float
 ) -> None:
     """Search anew for the owner of a flow that is not where it was thought."""
@@ -122,12 +126,12 @@
     if head is None or head.flags & SYN:
         return
     log.info("owner lost", extra={"flow": flow_text(flow), "agent": agent})
-    search = Search(packet, head.acknowledged, now, [], without={agent})
+    search = Search(packet, head.acknowledged, now, [], denied_by={agent})
     balancer.searches.start(flow, search)
-    ask_next(balancer, flow, search, now)
+    query_next_home(balancer, flow, search, now)
 
 
-def end_if_dead(balancer: "Balancer", flow: int, search: Search, now: float) -> None:
+def reset_if_dead(balancer: "Balancer", flow: int, search: Search, now: float) -> None:
     """Reset a flow that no endpoint holds.
 
     Its client would repeat packets until its time budget ends. Each agent has said
@@ -135,19 +139,19 @@
     that could be served is met. A balancer that has started without the store may know
     a single agent, whose no says nothing of the others.
     """
-    if not balancer.members.is_whole:
+    if not balancer.members.is_complete:
         return
     if not search.is_exhausted(lambda address: balancer.health.is_lost(address, now)):
         return
-    if not balancer.agents <= search.asked:
+    if not balancer.agents <= search.queried:
         # An agent has come to be known since; it has not been asked.
         search.is_queued = True
         return
     balancer.searches.end(flow)
     extra = {
         "flow": flow_text(flow),
-        "agents": len(search.asked),
-        "silent": len(search.asked - search.without),
+        "agents": len(search.queried),
+        "silent": len(search.queried - search.denied_by),
     }
     log.info("flow dead, reset", extra=extra)
     balancer.counts["dead_flows"] += 1
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/listing.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/registration.py
@@ -9,7 +9,9 @@
 log = get_log(__name__)
 
 
-async def list_member(store: PlatformStore, member: Member, backoff: Backoff) -> None:
+async def register_member(
+    store: PlatformStore, member: Member, backoff: Backoff
+) -> None:
     """List a member, again and again until the store has taken it."""
     while True:
         match await store.put_member(member):
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
@@ -17,10 +17,10 @@
 from cornelspan_passthrough.health import DOWN
 from cornelspan_passthrough.hops import GONE
 from cornelspan_passthrough.http import http_answers, http_server
-from cornelspan_passthrough.listing import list_member
 from cornelspan_passthrough.members import AGENT, Member
 from cornelspan_passthrough.metrics import agent_page
 from cornelspan_passthrough.reading import reading
+from cornelspan_passthrough.registration import register_member
 from cornelspan_passthrough.reloading import Orders, follow_settings
 from cornelspan_passthrough.settings import PassthroughAgentSettings
 from cornelspan_passthrough.store import Backoff, OpenStore, PlatformStore
@@ -169,14 +169,14 @@
 async def _stay_listed(agent: Agent, member: Member, store: PlatformStore) -> None:
     """List this agent, and again whenever its entry seems to be gone."""
     backoff = Backoff(random.Random())
-    await list_member(store, member, backoff)
+    await register_member(store, member, backoff)
     patience = UNHEARD_SECONDS
     while True:
         await asyncio.sleep(LISTING_SECONDS)
         if not _seems_unlisted(agent, patience):
             continue
         heard_at = agent.pinged_at
-        await list_member(store, member, backoff)
+        await register_member(store, member, backoff)
         agent.unlisted_at = None
         is_unheard = agent.pinged_at == heard_at
         patience = min(LONGEST_UNHEARD_SECONDS, patience * 2)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
@@ -18,10 +18,10 @@
 )
 from cornelspan_passthrough.greeting import greet
 from cornelspan_passthrough.http import http_server
-from cornelspan_passthrough.listing import list_member
 from cornelspan_passthrough.members import BALANCER, Member
 from cornelspan_passthrough.metrics import balancer_page
 from cornelspan_passthrough.reading import reading
+from cornelspan_passthrough.registration import register_member
 from cornelspan_passthrough.reloading import Orders, follow_settings
 from cornelspan_passthrough.settings import socket_address
 from cornelspan_passthrough.snapshots import SNAPSHOT_PATH, encode_snapshot
@@ -77,7 +77,7 @@
             )
             tasks.start(follow_members(balancer, store, backoffs[1]), name="members")
             member = Member(settings.address, BALANCER, settings.datacentre)
-            tasks.start(list_member(store, member, backoffs[2]), name="listing")
+            tasks.start(register_member(store, member, backoffs[2]), name="listing")
             tasks.start(catch_up(balancer, store, fetch_from_peer), name="catching up")
             tasks.start(_ping(balancer), name="pings")
             tasks.start(
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/searches.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/searches.py
@@ -11,44 +11,45 @@
 
 # A home that lives answers within a round trip, a few milliseconds; after this the next
 # is asked. The client's own repeat comes after 200 ms.
-HOME_SECONDS = 0.04
+HOME_TIMEOUT_SECONDS = 0.04
 # A search waits this long for agents that are about to come up. Clients' time budgets
 # are of this order, and a client's next repeat begins a new search.
-SEARCH_SECONDS = 2.0
+SEARCH_TIMEOUT_SECONDS = 2.0
 # What a client may have in flight.
-KEPT_PACKETS = 16
+MAX_HELD_PACKETS = 16
 # Questions to agents that one balancer sends in a second, some 60 bytes each with UDP's
 # and IP's heads and as many for the answer: 1 Mbit/s each way. After a loss of power
 # every client's flow is sought; with 60 agents and no bound the questions filled links
 # of 7 Mbit/s, pings were lost with them, and no agent seemed to be there for 15 s.
-QUESTIONS_PER_SECOND = 2000.0
-LIMIT = 8192
+QUERIES_PER_SECOND = 2000.0
+MAX_SEARCHES = 8192
 
 
 @dataclass(slots=True)
 class Search:
     """One flow's search.
 
-    ``waiting`` are packets that came after the one the question carried, ``homes`` the
-    homes not asked yet, ``asked`` the agents that were asked when all were, ``without``
-    those that said no. ``is_queued`` says that all agents are to be asked as soon as
-    the balancer may.
+    ``held_packets`` are packets that arrived after the one sent with the query,
+    ``remaining_homes`` the homes not queried yet, ``queried`` the agents included when
+    all agents were queried, ``denied_by`` those that answered that they don't hold the
+    flow. ``is_queued`` says that all agents are to be queried as soon as the rate limit
+    allows.
     """
 
     packet: bytes
     acknowledged: int
     started_at: float
-    homes: list[str]
-    asked_at: float = 0.0
-    waiting: list[bytes] = field(default_factory=list)
+    remaining_homes: list[str]
+    queried_at: float = 0.0
+    held_packets: list[bytes] = field(default_factory=list)
     is_queued: bool = False
-    asked: frozenset[str] = frozenset()
-    without: set[str] = field(default_factory=set)
+    queried: frozenset[str] = frozenset()
+    denied_by: set[str] = field(default_factory=set)
 
-    def keep(self, packet: bytes) -> None:
+    def hold(self, packet: bytes) -> None:
         """Keep a further packet of the flow until its owner is known."""
-        if len(self.waiting) < KEPT_PACKETS:
-            self.waiting.append(packet)
+        if len(self.held_packets) < MAX_HELD_PACKETS:
+            self.held_packets.append(packet)
 
     def is_exhausted(self, is_lost: Callable[[str], bool]) -> bool:
         """Whether no agent that could still serve the flow is left.
@@ -56,10 +57,10 @@
         At least half of all must have said so themselves: with most of them silent, it
         is this process that can't be heard, and the flow may live.
         """
-        said = self.asked & self.without
-        if not said or 2 * len(said) < len(self.asked):
+        denied = self.queried & self.denied_by
+        if not denied or 2 * len(denied) < len(self.queried):
             return False
-        return all(is_lost(address) for address in self.asked - self.without)
+        return all(is_lost(address) for address in self.queried - self.denied_by)
 
 
 @dataclass
@@ -74,7 +75,7 @@
 
     def start(self, flow: int, search: Search) -> None:
         """Begin a search."""
-        if len(self.by_flow) >= LIMIT:
+        if len(self.by_flow) >= MAX_SEARCHES:
             del self.by_flow[next(iter(self.by_flow))]
         self.by_flow[flow] = search
 
@@ -87,14 +88,14 @@
         return [
             flow
             for flow, search in self.by_flow.items()
-            if not search.asked
+            if not search.queried
             and not search.is_queued
-            and now - search.asked_at > HOME_SECONDS
+            and now - search.queried_at > HOME_TIMEOUT_SECONDS
         ]
 
-    def sweep(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Give up searches that have found nobody."""
         for flow in list(self.by_flow):
-            if now - self.by_flow[flow].started_at <= SEARCH_SECONDS:
+            if now - self.by_flow[flow].started_at <= SEARCH_TIMEOUT_SECONDS:
                 return
             del self.by_flow[flow]
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/snapshots.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/snapshots.py
@@ -27,7 +27,7 @@
     """Return what a balancer knows, for a peer."""
     members = tuple(balancer.members.all())
     snapshot = Snapshot(
-        balancer.routes.configuration, members, balancer.members.is_whole
+        balancer.routes.configuration, members, balancer.members.is_complete
     )
     return msgspec.msgpack.encode(snapshot)
 
@@ -42,7 +42,7 @@
     take_configuration(balancer, snapshot.configuration, peer)
     if balancer.members.revision:
         return
-    balancer.members.is_whole = balancer.members.is_whole or snapshot.is_whole
-    news = [balancer.members.tell(member) for member in snapshot.members]
+    balancer.members.is_complete = balancer.members.is_complete or snapshot.is_whole
+    news = [balancer.members.add_announced(member) for member in snapshot.members]
     if any(news):
         members_are(balancer, now)
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_ablations.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_ablations.py
@@ -22,8 +22,8 @@
     first_packets,
     flows,
     lives,
+    owner_search,
     placing,
-    searching,
 )
 from cornelspan_passthrough.homes import Homes
 from cornelspan_passthrough.waiting import WaitingLine
@@ -61,8 +61,8 @@
     "dead-flows": (
         Change(lives, "end_dead_flow", _forget),
         Change(agent, "end_dead_flow", _forget),
-        Change(searching, "end_if_dead", _nothing),
-        Change(balancer, "end_if_dead", _nothing),
+        Change(owner_search, "reset_if_dead", _nothing),
+        Change(balancer, "reset_if_dead", _nothing),
     ),
     # Agents that record owners of flows.
     "homes": (Change(Homes, "of", lambda self, flow: ()),),
--- a/tests/test_passthrough_dead_flows.py
+++ b/tests/test_passthrough_dead_flows.py
@@ -190,7 +190,7 @@
     other = next(address for address in ORDERS if address != owner)
     restarted = world.add_balancer(BALANCERS[1])
     restarted.members = Members()
-    restarted.members.tell(world.members[other])
+    restarted.members.add_announced(world.members[other])
     restarted.members_changed(world.now)
     world.agents[other].directory.entries.clear()
     world.move(client, over=BALANCERS[1])
@@ -216,7 +216,7 @@
     asked = []
     world.lost = lambda source, target, data: data[0] == hops.ASK and asked.append(1)
     balancer = world.balancers[BALANCERS[1]]
-    balancer.questions = TokenBucket(rate=100.0, burst=20.0)
+    balancer.query_budget = TokenBucket(rate=100.0, burst=20.0)
     for client in clients:
         world.move(client, over=BALANCERS[1])
         client.request()
--- a/tests/test_passthrough_members.py
+++ b/tests/test_passthrough_members.py
@@ -38,12 +38,12 @@
     An agent came up while the store turned it away and spoke to the seeds. Its VM goes
     without a word; there is no entry whose removal the balancers would hear of.
     """
-    told = Member("10.9.0.11", AGENT, "hall", "orders")
+    announced = Member("10.9.0.11", AGENT, "hall", "orders")
     balancer = world.balancers[BALANCERS[0]]
-    balancer.members.tell(told)
+    balancer.members.add_announced(announced)
     balancer.members_changed(world.now)
-    balancer.ping_agent(told.address, world.now)
-    balancer.forget_member(told.address, world.now)
-    assert balancer.members.get(told.address) is None
-    assert told.address not in balancer.by_service["orders"]
-    assert told.address not in balancer.health.by_address
+    balancer.ping_agent(announced.address, world.now)
+    balancer.forget_member(announced.address, world.now)
+    assert balancer.members.get(announced.address) is None
+    assert announced.address not in balancer.by_service["orders"]
+    assert announced.address not in balancer.health.by_address
--- a/tests/test_shirakaba_records.py
+++ b/tests/test_shirakaba_records.py
@@ -239,10 +239,10 @@
     """
     members = Members()
     members.replace([ORDERS], 3)
-    members.lose_entry(ORDERS.address)
+    members.mark_unreadable(ORDERS.address)
     assert members.agents() == [ORDERS]
-    assert ORDERS.address not in members.listed
+    assert ORDERS.address not in members.registered
     members.replace([], 4, [ORDERS.address])
     assert members.agents() == [ORDERS]
     members.put(ORDERS, 5)
-    assert members.told == {}
+    assert members.announced == {}
