--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
@@ -18,7 +18,11 @@
 from cornelspan_passthrough import hops
 from cornelspan_passthrough.configuration import RouteTable
 from cornelspan_passthrough.datagrams import DatagramSocket
-from cornelspan_passthrough.first_packets import open_flow, place_anew, place_held
+from cornelspan_passthrough.first_packets import (
+    handle_first_packet,
+    place_held_packets,
+    retry_placement,
+)
 from cornelspan_passthrough.heads import (
     SYN,
     PacketCodec,
@@ -40,7 +44,7 @@
     query_returned_agent,
     reset_if_dead,
 )
-from cornelspan_passthrough.placing import Choose, choose, takes_flows
+from cornelspan_passthrough.placing import ChooseEndpoint, choose_endpoint, takes_flows
 from cornelspan_passthrough.pruning import Silences, is_pruner
 from cornelspan_passthrough.searches import QUERIES_PER_SECOND, Searches
 from cornelspan_passthrough.settings import PassthroughBalancerSettings, socket_address
@@ -60,8 +64,8 @@
     codec: PacketCodec
     clients: DatagramSocket
     daemons: DatagramSocket
-    chance: random.Random
-    choose: Choose = choose
+    rng: random.Random
+    choose_endpoint: ChooseEndpoint = choose_endpoint
     routes: RouteTable = field(default_factory=RouteTable)
     members: Members = field(default_factory=Members)
     homes: Homes = field(default_factory=Homes)
@@ -110,7 +114,7 @@
             self.counts["broken_packets"] += 1
             return
         if head.flags & SYN:
-            open_flow(self, head, data, now)
+            handle_first_packet(self, head, data, now)
             return
         owner = self.owners.owner(head.flow)
         if owner:
@@ -161,7 +165,7 @@
             if search is not None:
                 self.send(sender, hops.encode_packet(hops.TRY, search.packet))
         else:
-            place_anew(self, note, sender, now)
+            retry_placement(self, note, sender, now)
 
     def _pong(self, data: bytes, now: float) -> None:
         try:
@@ -180,7 +184,7 @@
         if self.first_pong_at is None:
             self.first_pong_at = now
         if is_regained or was is None:
-            place_held(self, now)
+            place_held_packets(self, now)
             query_returned_agent(self, pong.address)
         if was is None or was.state != pong.state:
             extra = {"agent": pong.address, "state": pong.state}
@@ -328,7 +332,7 @@
                 query_all_agents(self, flow, search, now)
             reset_if_dead(self, flow, search, now)
         self.searches.remove_expired(now)
-        place_held(self, now)
+        place_held_packets(self, now)
         self.openings.sweep(now)
 
     def send(self, address: str, data: bytes) -> None:
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
@@ -1,4 +1,4 @@
-"""Places first packets: which agent gets them, and when they wait or are refused."""
+"""Places the first packets of flows: chooses an agent, holds or rejects them."""
 
 from ipaddress import IPv4Address
 from typing import TYPE_CHECKING
@@ -10,61 +10,65 @@
 from cornelspan_passthrough.health import AgentHealth
 from cornelspan_passthrough.members import service_tag
 from cornelspan_passthrough.openings import CLIENT_SECONDS, HELD_SECONDS, Opening
-from cornelspan_passthrough.placing import REFUSED_SECONDS, Candidate
+from cornelspan_passthrough.placing import REJECTION_COOLDOWN_SECONDS, Candidate
 from cornelspan_passthrough.urgency import MILLISECONDS, Urgency
 
 if TYPE_CHECKING:
     from cornelspan_passthrough.balancer import Balancer
 
-# A first packet that this many endpoints have turned away is answered by a reset: the
-# client then tries again with a new flow, while a further endpoint would be asked after
-# the client's own repeat.
-OPEN_TRIES = 4
-NEVER_OPEN = 0
-# How late the news of a member may be: the pause between two watches of the listing,
-# a round trip to a slow store, and the first answer to a ping.
-COMING_MEMBERS_SECONDS = 0.6
-# Agents that lost power together come up within some 300 ms; most are there this long
-# after the first.
-GATHER_SECONDS = 0.2
+# After this many endpoints have rejected a first packet the flow is reset, so that the
+# client retries with a new flow. A further endpoint would be asked only after the
+# client's own retransmission.
+MAX_PLACEMENT_ATTEMPTS = 4
+UNOPENED_SEQUENCE = 0
+# How late this balancer may learn of a member: the pause between two watches of the
+# member list, a round trip to a slow store, and the first pong.
+MEMBER_UPDATE_SECONDS = 0.6
+# Agents that lost power together start within some 300 ms of each other; most are up
+# this long after the first one.
+STARTUP_SETTLE_SECONDS = 0.2
 
 log = get_log(__name__)
 
 
-def open_flow(balancer: "Balancer", head: Head, data: bytes, now: float) -> None:
-    """Take a first packet of a client, or a repeat of one."""
+def handle_first_packet(
+    balancer: "Balancer", head: Head, data: bytes, now: float
+) -> None:
+    """Handle a client's first packet or a retransmission of it."""
     if balancer.routes.configuration is None:
-        _hold_unrouted(balancer, head, data, now)
+        _hold_without_configuration(balancer, head, data, now)
         return
     route = balancer.routes.route(head.flow)
     if route is None:
-        _refuse(balancer, head.flow, "no route")
+        _reject(balancer, head.flow, "no route")
         return
     opening = balancer.openings.get(head.flow, head.sequence, now)
     if opening is None:
-        opening = _start(balancer, head, now)
+        opening = _start_opening(balancer, head, now)
     elif opening.held:
         return
     elif opening.confirmed:
-        _offer(balancer, opening, route, head.flow, data, now)
+        _send_to_agent(balancer, opening, route, head.flow, data, now)
         return
-    # A repeat of a first packet that nobody has answered yet: the endpoint it went
-    # to may be gone. At another one it opens at once, and only the endpoint whose
-    # answer the client takes up has the flow.
+    # A retransmission of a first packet that no endpoint has answered: the endpoint it
+    # was sent to may be gone. Another endpoint can open the flow at once, and only the
+    # endpoint whose answer the client accepts holds the flow.
     _place(balancer, opening, route, head.flow, data, now)
 
 
-def _start(balancer: "Balancer", head: Head, now: float) -> Opening:
+def _start_opening(balancer: "Balancer", head: Head, now: float) -> Opening:
     began_at = now - balancer.codec.waited_seconds(head)
     return balancer.openings.start(head.flow, head.sequence, now, began_at)
 
 
-def _hold_unrouted(balancer: "Balancer", head: Head, data: bytes, now: float) -> None:
-    """Keep a first packet until there is a configuration to place it by."""
+def _hold_without_configuration(
+    balancer: "Balancer", head: Head, data: bytes, now: float
+) -> None:
+    """Hold a first packet until there is a configuration to place it by."""
     balancer.counts["opens_without_configuration"] += 1
     opening = balancer.openings.get(head.flow, head.sequence, now)
     if opening is None:
-        opening = _start(balancer, head, now)
+        opening = _start_opening(balancer, head, now)
     opening.held = data
 
 
@@ -76,25 +80,25 @@
     data: bytes,
     now: float,
 ) -> None:
-    """Offer a first packet to the endpoint that would serve it soonest.
+    """Send a first packet to the endpoint with the lowest cost.
 
-    While no agent of the route has answered this balancer yet, it waits: sent to a
-    VM whose agent is about to come up it would be lost, and the client's repeat
-    comes 200 ms later at the earliest.
+    It is held while no agent of the route has answered this balancer. Sent to a VM
+    whose agent is still starting it would be lost, and the client retransmits after 200
+    ms at the earliest.
     """
-    if not _knows_agents(balancer, route, now):
+    if not _has_enough_agents(balancer, route, now):
         opening.held = data
         return
     opening.held = b""
-    service, owner = _choose(balancer, route, flow, opening.passed_over, now)
-    opening.is_final = not owner or opening.tries >= OPEN_TRIES - 1
+    service, owner = _choose_agent(balancer, route, flow, opening.passed_over, now)
+    opening.is_final = not owner or opening.tries >= MAX_PLACEMENT_ATTEMPTS - 1
     if not owner:
-        # Whoever is merely busy, or has not answered, is better than nobody.
-        service, owner = _choose(balancer, route, flow, opening.refused, now)
+        # An agent that was only busy or has not answered is better than none.
+        service, owner = _choose_agent(balancer, route, flow, opening.refused, now)
     if not owner:
         refusals = len(opening.refused)
         reason = "all endpoints turned it away" if refusals else "no endpoint"
-        _refuse(balancer, flow, reason, route=route.name, refusals=refusals)
+        _reject(balancer, flow, reason, route=route.name, refusals=refusals)
         return
     opening.owner = owner
     opening.service = service
@@ -115,16 +119,16 @@
     )
     health.placed_flows += 1
     balancer.counts["flows_placed"] += 1
-    _offer(balancer, opening, route, flow, data, now)
+    _send_to_agent(balancer, opening, route, flow, data, now)
 
 
-def _knows_agents(balancer: "Balancer", route: Route, now: float) -> bool:
-    """Whether enough agents of the route have answered, or there are none.
+def _has_enough_agents(balancer: "Balancer", route: Route, now: float) -> bool:
+    """Whether enough agents of the route have answered, or the route has none.
 
-    Right after the first answer this balancer ever got, others are about to come
-    up. A crowd's first packets, sent out at once, would all fall on the first. So no
-    more are sent than those that have answered have slots for: all held until most are
-    there, slots stood empty meanwhile (``cornelspan experiment``, loss of power, eight
+    Right after the first pong of all, other agents are still starting. Many held first
+    packets, sent at once, would all go to the first agent. So until the startup has
+    settled only as many are sent as the agents that answered have free slots. Holding
+    all of them left those slots idle (``cornelspan experiment``, power loss, eight
     seeds: goal 0.846, 0.842 with all held).
     """
     addresses = [
@@ -133,45 +137,47 @@
         for address in balancer.by_service.get(share.service, [])
     ]
     if not addresses:
-        return bool(balancer.members.revision) and not _members_come(balancer, now)
+        return bool(balancer.members.revision) and not _have_members_changed(
+            balancer, now
+        )
     health_of_route = [balancer.health.of(address) for address in addresses]
     answered = [health for health in health_of_route if health.pong is not None]
-    has_gathered = (
+    has_settled = (
         balancer.first_pong_at is None
-        or now - balancer.first_pong_at > GATHER_SECONDS
+        or now - balancer.first_pong_at > STARTUP_SETTLE_SECONDS
         or len(answered) == len(health_of_route)
     )
-    return any(has_gathered or _has_room(health) for health in answered)
+    return any(has_settled or _has_free_slot(health) for health in answered)
 
 
-def _has_room(health: AgentHealth) -> bool:
-    """Whether an endpoint has a slot for a flow that is placed now."""
+def _has_free_slot(health: AgentHealth) -> bool:
+    """Whether an endpoint has a free slot for a flow that is placed now."""
     pong = health.pong
     return pong is not None and pong.running + health.placed_flows < pong.capacity
 
 
-def _is_over(opening: Opening, now: float) -> bool:
-    """Whether a client has opened its flow over another balancer, or given it up.
+def _has_client_timed_out(opening: Opening, now: float) -> bool:
+    """Whether the client has given the flow up or opened it over another balancer.
 
-    A copy of its first packet may have gone another way while this balancer held the
-    first one, above all if it stood still meanwhile or is not in the rotation. Told
-    that nobody takes the flow, the client would lose one that is open.
+    A retransmission may have reached another balancer while this one held the first
+    packet, above all if this VM was suspended or is not in the routers' rotation. A
+    reset would then break an open flow.
     """
     return now - opening.began_at > CLIENT_SECONDS
 
 
-def _members_come(balancer: "Balancer", now: float) -> bool:
-    """Whether members have come or gone just now.
+def _have_members_changed(balancer: "Balancer", now: float) -> bool:
+    """Whether members were added or removed within the last moments.
 
-    Then more may follow that are listed already and not told yet, and a service
-    without agents may have its first one among them.
+    More entries may then exist in the store that are not known here yet, among them the
+    first agent of a service that seems to have none.
     """
     changed_at = balancer.members_changed_at
-    return changed_at is not None and now - changed_at < COMING_MEMBERS_SECONDS
+    return changed_at is not None and now - changed_at < MEMBER_UPDATE_SECONDS
 
 
-def place_held(balancer: "Balancer", now: float) -> None:
-    """Place first packets that wait for an agent or a route, or give them up."""
+def place_held_packets(balancer: "Balancer", now: float) -> None:
+    """Place first packets that are held for an agent or a route, or reject them."""
     for flow, opening in balancer.openings.held():
         waited = now - opening.started_at
         if balancer.routes.configuration is None and waited <= HELD_SECONDS:
@@ -179,37 +185,39 @@
         route = balancer.routes.route(flow)
         if route is None or waited > HELD_SECONDS:
             opening.held = b""
-            if balancer.routes.configuration is None or _is_over(opening, now):
+            if balancer.routes.configuration is None or _has_client_timed_out(
+                opening, now
+            ):
                 continue
             reason = "no agent answers" if route else "no route"
-            _refuse(balancer, flow, reason, waited_ms=round(waited * 1000))
+            _reject(balancer, flow, reason, waited_ms=round(waited * 1000))
             continue
         _place(balancer, opening, route, flow, opening.held, now)
 
 
-def _choose(
-    balancer: "Balancer", route: Route, flow: int, tried: set[str], now: float
+def _choose_agent(
+    balancer: "Balancer", route: Route, flow: int, excluded: set[str], now: float
 ) -> tuple[str, str]:
     """Return service and agent for a flow, "" for none.
 
-    Agents that don't answer come last, not never: with all of them silent it may be
-    this balancer that heard nothing.
+    Agents that don't answer are tried last instead of never. If none answers, it may be
+    this balancer that receives nothing.
     """
-    for is_wanted in (balancer.health.is_answering, lambda address: True):
+    for is_eligible in (balancer.health.is_answering, lambda address: True):
         for service in services_in_order(route, flow):
             addresses = balancer.by_service.get(service, [])
             candidates = [
                 Candidate(address, balancer.health.of(address))
                 for address in addresses
-                if address not in tried and is_wanted(address)
+                if address not in excluded and is_eligible(address)
             ]
-            owner = balancer.choose(candidates, balancer.chance, now)
+            owner = balancer.choose_endpoint(candidates, balancer.rng, now)
             if owner:
                 return service, owner
     return "", ""
 
 
-def _offer(
+def _send_to_agent(
     balancer: "Balancer",
     opening: Opening,
     route: Route,
@@ -217,7 +225,7 @@
     data: bytes,
     now: float,
 ) -> None:
-    """Send a first packet to the agent that was chosen for it."""
+    """Send a first packet to the chosen agent."""
     tag = service_tag(opening.service)
     homes = [int(IPv4Address(home)) for home in balancer.homes.of(flow)]
     first, second = (*homes, hops.NOBODY, hops.NOBODY)[:2]
@@ -232,18 +240,18 @@
     balancer.send(opening.owner, hops.encode_open(hop))
 
 
-def _refuse(balancer: "Balancer", flow: int, reason: str, **inputs: str | int) -> None:
-    """Reset a flow that surely is not open."""
-    extra = {"flow": flow_text(flow), "reason": reason, **inputs}
+def _reject(balancer: "Balancer", flow: int, reason: str, **fields: str | int) -> None:
+    """Reset a flow that is certainly not open."""
+    extra = {"flow": flow_text(flow), "reason": reason, **fields}
     log.info("flow refused", extra={**extra, "version": balancer.routes.version})
     balancer.counts["flows_refused"] += 1
-    balancer.reset(flow, NEVER_OPEN)
+    balancer.reset(flow, UNOPENED_SEQUENCE)
 
 
-def place_anew(
+def retry_placement(
     balancer: "Balancer", note: hops.FlowNote, sender: str, now: float
 ) -> None:
-    """Place a first packet anew that an endpoint has turned away."""
+    """Place a first packet again that an endpoint has rejected."""
     head = balancer.codec.read_client(note.packet)
     if head is None:
         return
@@ -264,8 +272,8 @@
         opening.busy.add(sender)
     else:
         opening.refused.add(sender)
-    balancer.health.of(sender).refused_until = now + REFUSED_SECONDS
-    if opening.tries >= OPEN_TRIES:
-        _refuse(balancer, note.flow, "turned away", refusals=opening.tries)
+    balancer.health.of(sender).cooldown_until = now + REJECTION_COOLDOWN_SECONDS
+    if opening.tries >= MAX_PLACEMENT_ATTEMPTS:
+        _reject(balancer, note.flow, "turned away", refusals=opening.tries)
         return
     _place(balancer, opening, route, note.flow, note.packet, now)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/following.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/following.py
@@ -83,7 +83,7 @@
     """Return how long the next watch of the configuration shall wait."""
     fair = FLEET_WATCH_SECONDS * len(balancer.members.balancers())
     seconds = min(LONGEST_WATCH_SECONDS, max(SHORTEST_WATCH_SECONDS, fair))
-    return seconds * (1 - WATCH_JITTER * balancer.chance.random())
+    return seconds * (1 - WATCH_JITTER * balancer.rng.random())
 
 
 async def follow_members(
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/health.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/health.py
@@ -71,7 +71,7 @@
     last_pong_at: float = 0.0
     unanswered_pings: int = 0
     placed_flows: int = 0
-    refused_until: float = 0.0
+    cooldown_until: float = 0.0
 
 
 @dataclass
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/placing.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/placing.py
@@ -1,8 +1,8 @@
-"""Chooses the endpoint that takes a new flow.
+"""Chooses the endpoint for a new flow.
 
-The load pattern it answers: long flows that carry requests with pauses between them,
-beside flows of one request each, in front of endpoints of few slots that shed when
-their short queue is full.
+The policy is made for this load: long flows carry requests with pauses in between,
+beside flows of a single request, in front of endpoints with few slots that shed load
+when their short queue is full.
 """
 
 import random
@@ -11,76 +11,81 @@
 
 from cornelspan_passthrough.health import DOWN, DRAINING, AgentHealth, Pong
 
-# A flow that is open but idle now will send again; in these terms it weighs a fifth of
-# a request that runs.
+# An open flow that is idle will send again. In load terms it counts as a fifth of a
+# running request.
 IDLE_FLOW_WEIGHT = 0.2
-# A flow placed since the endpoint's last word will bring its first request at once.
+# A flow placed since the endpoint's last pong sends its first request at once.
 PLACED_WEIGHT = 1.0
 DEFAULT_CAPACITY = 1
-# From this many times the usual pace on an endpoint is taken to be slow: the pace of
-# ten answers strays by less than half of itself. With a third of the endpoints eight
-# times as slow for 6 of 16 s, 99.6 % of the requests of the highest priority are on
-# time, 97.1 % without (``cornelspan experiment``, mean of six seeds).
+# An endpoint counts as slow from this multiple of the median service time on. The mean
+# of ten service times varies by less than half of itself. In ``cornelspan experiment``
+# (mean of six seeds, a third of the endpoints eight times as slow for 6 of 16 s) 99.6 %
+# of the highest-priority requests are on time, 97.1 % without this.
 SLOW_RATIO = 1.5
-# An endpoint that turned a first packet away is passed over this long, unless no other
-# is left. An empty one that is about to start is the least loaded of all and would be
-# tried for each new flow, a few milliseconds each.
-REFUSED_SECONDS = 0.25
-# If more endpoints of a service than this are said to fail, they share a cause that
-# placing can't avoid, and the rest could not carry their load.
-EJECTED_SHARE = 0.34
+# An endpoint that rejected a first packet gets no new flow for this long unless no
+# other is left. Otherwise an empty endpoint that is still starting, being the least
+# loaded, would be tried first for every new flow, at a cost of a few milliseconds each.
+REJECTION_COOLDOWN_SECONDS = 0.25
+# If a larger share of a service's endpoints is ejected, they probably fail for a common
+# cause that placement can't avoid, and the rest could not carry their load. Ejections
+# are then ignored.
+MAX_EJECTED_SHARE = 0.34
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An endpoint that may take a flow: its agent's address and pulse."""
+    """An endpoint that may take a flow: its agent's address and health."""
 
     address: str
     health: AgentHealth
 
 
-Choose = Callable[[Iterable[Candidate], random.Random, float], str]
+ChooseEndpoint = Callable[[Iterable[Candidate], random.Random, float], str]
 
 
-def choose(candidates: Iterable[Candidate], chance: random.Random, now: float) -> str:
+def choose_endpoint(
+    candidates: Iterable[Candidate], rng: random.Random, now: float
+) -> str:
     """Return the address of the endpoint to place a flow on, "" if none may take it.
 
-    Equals are told apart by chance: by rank, balancers that share a late view would
-    send all flows of a moment to the same endpoint.
+    Ties are broken at random. With a fixed order, balancers that share an outdated view
+    would send all flows of a moment to the same endpoint.
     """
     best = ""
-    best_cost = (False, 0.0, 0.0)
+    best_rank = (False, 0.0, 0.0)
     candidates = [each for each in candidates if takes_flows(each.health)]
     ejected = sum(1 for each in candidates if is_ejected(each.health))
-    passes_over = ejected <= EJECTED_SHARE * len(candidates)
+    skips_ejected = ejected <= MAX_EJECTED_SHARE * len(candidates)
     median = median_service_time(candidates)
     for candidate in candidates:
         health = candidate.health
-        is_last = health.refused_until > now or (passes_over and is_ejected(health))
-        found = (is_last, cost(health, median), chance.random())
-        if not best or found < best_cost:
+        is_last_resort = health.cooldown_until > now or (
+            skips_ejected and is_ejected(health)
+        )
+        rank = (is_last_resort, cost(health, median), rng.random())
+        if not best or rank < best_rank:
             best = candidate.address
-            best_cost = found
+            best_rank = rank
     return best
 
 
 def takes_flows(health: AgentHealth) -> bool:
-    """Whether an endpoint may take a flow, as far as its last word goes.
+    """Whether an endpoint may take a flow, according to its last pong.
 
-    One that has not spoken yet may: after a loss of power the first flows would
-    otherwise wait for the first reports, and an agent whose endpoint is not there yet
-    hands a first packet back.
+    An endpoint without a pong may. After a power loss the first flows would otherwise
+    wait for the first pongs, and an agent whose endpoint is not up yet rejects the
+    first packet.
     """
     return health.pong is None or health.pong.state not in (DRAINING, DOWN)
 
 
 def is_ejected(health: AgentHealth) -> bool:
-    """Whether an endpoint fails what it is sent, as its agent has last said."""
+    """Whether outlier detection has ejected an endpoint, according to its last pong."""
     return health.pong is not None and health.pong.is_ejected
 
 
 def median_service_time(candidates: list[Candidate]) -> float:
-    """Return the middle of the endpoints' paces in milliseconds, 0 if none is known."""
+    """Return the endpoints' median service time in milliseconds, 0 if none is known."""
     known = sorted(
         each.health.pong.service_time_milliseconds
         for each in candidates
@@ -91,11 +96,12 @@
 
 
 def cost(health: AgentHealth, median: float = 0) -> float:
-    """Return how long a new request would take at an endpoint beyond its own run.
+    """Return how long a new request would wait and run beyond its own normal run time.
 
     Args:
-        pulse: The endpoint's.
-        usual: The pace of its like in milliseconds, which is the unit; 0 if not known.
+        health: The endpoint's health.
+        median: Median service time of the service's endpoints in milliseconds, which is
+            the unit of the result; 0 if unknown.
     """
     pong = health.pong
     if pong is None:
@@ -107,12 +113,13 @@
 
 
 def slowdown(pong: Pong, median: float) -> float:
-    """Return how many times the usual an endpoint takes for a request.
+    """Return an endpoint's service time as a multiple of the median, 1 if not slow.
 
-    Paces differ by what an endpoint happened to get of late. Only one that is far from
-    its like is slow; with every difference heeded, flows would follow chance. An
-    endpoint in its cold start counts by its pace, too: weighed by what it reports of
-    its start, flows went to its busier peers and no caller was better off.
+    Service times vary with the requests an endpoint happened to get, so only one far
+    above the median counts as slow; following every difference would place flows by
+    noise. An endpoint in its cold start is weighed by its service time as well.
+    Weighing it by the warm-up time that it reports sent flows to busier endpoints and
+    improved nothing for callers.
     """
     if not median or pong.service_time_milliseconds < SLOW_RATIO * median:
         return 1.0
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
@@ -70,7 +70,7 @@
         async with task_group() as tasks:
             tasks.start(_tick(balancer), name="tick")
             store = open_store(settings.store)
-            backoffs = [Backoff(balancer.chance) for _ in range(3)]
+            backoffs = [Backoff(balancer.rng) for _ in range(3)]
             tasks.start(
                 follow_configuration(balancer, store, backoffs[0]),
                 name="configuration",
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/store.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/store.py
@@ -113,8 +113,8 @@
 class Backoff:
     """Growing waits between calls that fail one after the other."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.seconds = FIRST_WAIT_SECONDS
 
     def succeeded(self) -> None:
@@ -124,7 +124,7 @@
     async def wait(self, longest: float = LONGEST_WAIT_SECONDS) -> None:
         """Wait, longer each time up to a limit in seconds."""
         seconds = min(longest, self.seconds)
-        await asyncio.sleep(seconds * (1 + JITTER * self.chance.random()))
+        await asyncio.sleep(seconds * (1 + JITTER * self.rng.random()))
         self.seconds = min(LONGEST_WAIT_SECONDS, self.seconds * 2)
 
 
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment.py
@@ -117,7 +117,7 @@
 
     def _start_balancer(self, address: str) -> None:
         balancer = self.world.add_balancer(address)
-        balancer.choose = PLACINGS[self.plan.policy.placing]
+        balancer.choose_endpoint = PLACINGS[self.plan.policy.placing]
         if self.plan.policy.ideal:
             self.oracle.guide(balancer)
 
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_ablations.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_ablations.py
@@ -50,13 +50,13 @@
 
 MECHANISMS: dict[str, tuple[Change, ...]] = {
     # Waiting for all agents when the first has answered.
-    "gathering": (Change(first_packets, "GATHER_SECONDS", 0.0),),
+    "gathering": (Change(first_packets, "STARTUP_SETTLE_SECONDS", 0.0),),
     # Passing over an endpoint that has just turned a flow away.
-    "refusals": (Change(first_packets, "REFUSED_SECONDS", 0.0),),
+    "refusals": (Change(first_packets, "REJECTION_COOLDOWN_SECONDS", 0.0),),
     # Busy agents that hand first packets on.
     "handing-on": (Change(agent, "BUSY_FACTOR", math.inf),),
     # Keeping first packets while no agent has answered.
-    "holding": (Change(first_packets, "_knows_agents", lambda *_: True),),
+    "holding": (Change(first_packets, "_has_enough_agents", lambda *_: True),),
     # Telling clients of dead flows.
     "dead-flows": (
         Change(lives, "end_dead_flow", _forget),
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_ideal.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_ideal.py
@@ -54,7 +54,7 @@
     def guide(self, balancer: Balancer) -> None:
         """Have a balancer know the owner of each packet's flow, and what is dead."""
         own = (balancer.settings.address, PACKETS_PORT)
-        balancer.choose = self.choose
+        balancer.choose_endpoint = self.choose
 
         def from_client(data: bytes, sender: str) -> None:
             head = CODEC.read_client(data)
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_policies.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_policies.py
@@ -3,7 +3,12 @@
 import random
 from collections.abc import Iterable
 
-from cornelspan_passthrough.placing import Candidate, Choose, choose, takes_flows
+from cornelspan_passthrough.placing import (
+    Candidate,
+    ChooseEndpoint,
+    choose_endpoint,
+    takes_flows,
+)
 from cornelspan_passthrough.waiting import Held, Order, on_time_first
 
 # More than any endpoint's slots and queue: nothing waits at the agent then.
@@ -59,8 +64,8 @@
     "age": by_age,
     "none": on_time_first,
 }
-PLACINGS: dict[str, Choose] = {
-    "product": choose,
+PLACINGS: dict[str, ChooseEndpoint] = {
+    "product": choose_endpoint,
     "random": choose_by_chance,
     "fewest-flows": choose_fewest_flows,
 }
--- a/tests/test_passthrough_judging.py
+++ b/tests/test_passthrough_judging.py
@@ -4,7 +4,7 @@
 
 from cornelspan_common.ejection import Standing
 from cornelspan_passthrough.health import READY, AgentHealth, Pong
-from cornelspan_passthrough.placing import EJECTED_SHARE, Candidate, choose
+from cornelspan_passthrough.placing import MAX_EJECTED_SHARE, Candidate, choose_endpoint
 from cornelspan_standins.packet_world import PacketWorld
 
 BALANCERS = ("10.1.0.10", "10.2.0.10")
@@ -109,8 +109,10 @@
 
 def test_ejected_endpoints_come_last_but_not_if_too_many_are(world):
     """With half of a service said to fail, the rest is not given all of its load."""
-    some, many = round(EJECTED_SHARE * 6), round(EJECTED_SHARE * 6) + 1
-    few = {choose(candidates(some), world.chance, 0.0) for _ in range(200)}
+    some, many = round(MAX_EJECTED_SHARE * 6), round(MAX_EJECTED_SHARE * 6) + 1
+    few = {choose_endpoint(candidates(some), world.chance, 0.0) for _ in range(200)}
     assert few == {str(number) for number in range(some, 6)}
-    all_chosen = {choose(candidates(many), world.chance, 0.0) for _ in range(200)}
+    all_chosen = {
+        choose_endpoint(candidates(many), world.chance, 0.0) for _ in range(200)
+    }
     assert len(all_chosen) == 6
--- a/tests/test_passthrough_placing.py
+++ b/tests/test_passthrough_placing.py
@@ -5,7 +5,7 @@
 from cornelspan_passthrough.flows import FlowTable
 from cornelspan_passthrough.heads import ACK, Head
 from cornelspan_passthrough.health import DOWN, DRAINING, READY, AgentHealth, Pong
-from cornelspan_passthrough.placing import Candidate, choose
+from cornelspan_passthrough.placing import Candidate, choose_endpoint
 from cornelspan_standins.packet_world import PacketWorld
 
 BALANCER = "10.1.0.10"
@@ -20,7 +20,7 @@
 
 def chosen(**by_name):
     candidates = [Candidate(name, each) for name, each in by_name.items()]
-    return choose(candidates, random.Random(1), now=10.0)
+    return choose_endpoint(candidates, random.Random(1), now=10.0)
 
 
 def test_the_least_busy_takes_it():
@@ -102,7 +102,7 @@
 
 
 def test_who_has_just_refused_comes_last_not_never():
-    refusing = health(refused_until=10.2)
+    refusing = health(cooldown_until=10.2)
     assert chosen(a=refusing, b=health(running=2)) == "b"
     assert chosen(a=refusing) == "a"
 
