--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
@@ -150,6 +150,7 @@
             self.counts["broken_datagrams"] += 1
 
     def _handle_note(self, note: hops.FlowNote, sender: str, now: float) -> None:
+        """Handle a message about one flow."""
         if note.kind == hops.OWNED:
             owner = address_text(note.agent)
             self.openings.confirm(note.flow, owner)
@@ -168,6 +169,11 @@
             retry_placement(self, note, sender, now)
 
     def _handle_pong(self, data: bytes, now: float) -> None:
+        """Record an agent's health.
+
+        An agent that answers for the first time, or again after a silence, gets held
+        first packets and the queries that it missed.
+        """
         try:
             pong = msgspec.msgpack.decode(data[1:], type=Pong)
         except msgspec.DecodeError:
@@ -209,6 +215,11 @@
             self.members.add_announced(member)
 
     def _handle_hello(self, data: bytes, sender: str, now: float) -> None:
+        """Record a daemon that announced itself, and ping it if it is an agent.
+
+        A new announcement that comes from the daemon itself is forwarded to the other
+        balancers.
+        """
         try:
             hello = msgspec.msgpack.decode(data[1:], type=Hello)
         except msgspec.DecodeError:
@@ -239,7 +250,7 @@
     # Membership and state
 
     def members_changed(self, now: float) -> None:
-        """Update everything that is derived from the members."""
+        """Recompute what is derived from the members: homes and agents by service."""
         self.members_changed_at = now
         agents = self.members.agents()
         self.agents = frozenset(member.address for member in agents)
@@ -249,7 +260,7 @@
             self.by_service.setdefault(member.service, []).append(member.address)
 
     def ping_agent(self, address: str, now: float) -> None:
-        """Ping an agent and count the ping as unanswered until its pong."""
+        """Ping an agent, and log it as lost once too many pings are unanswered."""
         health = self.health.of(address)
         if health.pong and health.unanswered_pings == self.settings.pulse.missed_pings:
             log.info("agent lost", extra={"agent": address})
@@ -257,7 +268,11 @@
         self.ping(address)
 
     def ping(self, address: str) -> None:
-        """Send another daemon a ping with this balancer's configuration version."""
+        """Send another daemon a ping with this balancer's configuration version.
+
+        It also says whether the receiver is registered in the store, so that a daemon
+        whose entry is missing registers again.
+        """
         self.pings += 1
         ping = Ping(
             self.settings.address,
@@ -269,8 +284,8 @@
     def is_ready(self) -> bool:
         """Whether routers may send packets here.
 
-        Without a configuration or an endpoint that takes flows, this balancer would
-        reject every new flow while another one could serve it.
+        Without a configuration, or without an agent that answers and takes flows, this
+        balancer would reject every new flow while another one could serve it.
         """
         if self.stopping or self.routes.configuration is None:
             return False
@@ -281,7 +296,10 @@
         )
 
     def update_failure_detector(self, now: float) -> None:
-        """Record which members respond now and which are silent."""
+        """Tell the failure detector which members respond now and which are silent.
+
+        Agents respond by pongs, balancers by their own pings.
+        """
         responsive: set[str] = {self.settings.address}
         for member in self.members.agents():
             if self.health.is_answering(member.address):
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
@@ -34,7 +34,7 @@
 def handle_first_packet(
     balancer: "Balancer", head: Head, data: bytes, now: float
 ) -> None:
-    """Handle a client's first packet or a retransmission of it."""
+    """Place a flow by its first packet; a retransmission may be placed anew."""
     if balancer.routes.configuration is None:
         _hold_without_configuration(balancer, head, data, now)
         return
@@ -57,6 +57,7 @@
 
 
 def _start_opening(balancer: "Balancer", head: Head, now: float) -> Opening:
+    """Create the opening; it began when the client sent the first packet first."""
     began_at = now - balancer.codec.waited_seconds(head)
     return balancer.openings.start(head.flow, head.sequence, now, began_at)
 
@@ -97,7 +98,7 @@
         service, owner = _choose_agent(balancer, route, flow, opening.refused, now)
     if not owner:
         refusals = len(opening.refused)
-        reason = "all endpoints turned it away" if refusals else "no endpoint"
+        reason = "rejected by all endpoints" if refusals else "no endpoint"
         _reject(balancer, flow, reason, route=route.name, refusals=refusals)
         return
     opening.owner = owner
@@ -123,13 +124,15 @@
 
 
 def _has_enough_agents(balancer: "Balancer", route: Route, now: float) -> bool:
-    """Whether enough agents of the route have answered, or the route has none.
+    """Whether a first packet of the route may be placed now, rather than held.
 
     Right after the first pong of all, other agents are still starting. Many held first
     packets, sent at once, would all go to the first agent. So until the startup has
     settled only as many are sent as the agents that answered have free slots. Holding
     all of them left those slots idle (``cornelspan experiment``, power loss, eight
-    seeds: goal 0.846, 0.842 with all held).
+    seeds: goal 0.846, 0.842 with all held). If the route has no agents and the members
+    have not changed recently, the packet is not held, so that the flow is rejected at
+    once.
     """
     addresses = [
         address
@@ -225,7 +228,7 @@
     data: bytes,
     now: float,
 ) -> None:
-    """Send a first packet to the chosen agent."""
+    """Send a first packet to the chosen agent, ``opening.owner``."""
     tag = service_tag(opening.service)
     homes = [int(IPv4Address(home)) for home in balancer.homes.of(flow)]
     first, second = (*homes, hops.NOBODY, hops.NOBODY)[:2]
@@ -241,7 +244,7 @@
 
 
 def _reject(balancer: "Balancer", flow: int, reason: str, **fields: str | int) -> None:
-    """Reset a flow that is certainly not open."""
+    """Reset a flow that was never opened, and log the reason."""
     extra = {"flow": flow_text(flow), "reason": reason, **fields}
     log.info("flow rejected", extra={**extra, "version": balancer.routes.version})
     balancer.counts["flows_refused"] += 1
@@ -251,7 +254,10 @@
 def retry_placement(
     balancer: "Balancer", note: hops.FlowNote, sender: str, now: float
 ) -> None:
-    """Place a first packet again that an endpoint has rejected."""
+    """Handle an agent's rejection of a first packet: place it on another one.
+
+    After ``MAX_PLACEMENT_ATTEMPTS`` rejections the flow is reset.
+    """
     head = balancer.codec.read_client(note.packet)
     if head is None:
         return
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/following.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/following.py
@@ -62,7 +62,7 @@
 async def follow_configuration(
     balancer: Balancer, store: PlatformStore, backoff: Backoff
 ) -> None:
-    """Watch the configuration in the store until cancelled."""
+    """Put new configurations from the store in force, until cancelled."""
 
     async def read() -> Result[int, FollowError]:
         found = await store.read_configuration()
@@ -90,7 +90,7 @@
 async def follow_members(
     balancer: Balancer, store: PlatformStore, backoff: Backoff
 ) -> None:
-    """Watch the registered members in the store until cancelled."""
+    """Apply changes of the registered members in the store, until cancelled."""
     now = asyncio.get_running_loop().time
 
     async def read() -> Result[int, FollowError]:
@@ -138,7 +138,7 @@
 
 
 def update_members(balancer: Balancer, now: float) -> None:
-    """Apply a change of the known members."""
+    """Update what is derived from the known members, and log their number."""
     balancer.members_changed(now)
     members = balancer.members
     extra = {
@@ -176,11 +176,12 @@
 
 
 def _is_behind(balancer: Balancer) -> bool:
+    """Whether a peer's ping has named a newer configuration than the one in force."""
     return balancer.newest_version > balancer.routes.version
 
 
 async def prune(balancer: Balancer, store: PlatformStore) -> None:
-    """Remove the store entries of dead members at intervals until cancelled."""
+    """Remove the store entries of dead members at intervals, until cancelled."""
     now = asyncio.get_running_loop().time
     while True:
         await asyncio.sleep(PRUNE_INTERVAL_SECONDS)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/health.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/health.py
@@ -118,7 +118,7 @@
         return self.of(address).unanswered_pings <= self.missed_pings
 
     def is_lost(self, address: str, now: float) -> bool:
-        """Whether an agent has been silent for too long to wait for its answer."""
+        """Whether an agent has been silent for so long that no search waits for it."""
         health = self.of(address)
         if (
             health.unanswered_pings <= self.missed_pings
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/owner_search.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/owner_search.py
@@ -1,4 +1,7 @@
-"""Searches the owners of flows that a balancer doesn't know; state: ``searches``."""
+"""Searches the owners of flows that a balancer doesn't know; see ``searches``.
+
+A flow's homes are the agents that record its owner, chosen by rendezvous hashing.
+"""
 
 from collections.abc import Iterable
 from ipaddress import IPv4Address
@@ -16,7 +19,11 @@
 
 
 def find_owner(balancer: "Balancer", head: Head, data: bytes, now: float) -> None:
-    """Start a search for a packet's flow, or add the packet to a running one."""
+    """Start a search for the owner of a packet's flow.
+
+    If one is running, the packet is held for it, and agents that have not answered its
+    query are queried again within the rate limit.
+    """
     search = balancer.searches.get(head.flow)
     if search is not None:
         search.hold(data)
@@ -37,7 +44,10 @@
 def query_next_home(
     balancer: "Balancer", flow: int, search: Search, now: float
 ) -> None:
-    """Query the flow's next home that answers pings; after the last one, all agents."""
+    """Send the packet to the flow's next home that answers pings.
+
+    After the last home all agents are queried.
+    """
     search.queried_at = now
     while search.remaining_homes:
         home = search.remaining_homes.pop(0)
@@ -51,20 +61,21 @@
 def query_all_agents(
     balancer: "Balancer", flow: int, search: Search, now: float
 ) -> None:
-    """Query all agents as soon as the rate limit allows."""
+    """Query all agents whether they hold the flow, as soon as the rate limit allows."""
     agents = [member.address for member in balancer.members.agents()]
     if not agents or not balancer.query_budget.take(len(agents), now):
         return
     search.is_queued = False
     search.queried = frozenset(agents)
     log.info(
-        "owner queried from all agents",
+        "querying all agents for owner",
         extra={"flow": flow_text(flow), "agents": len(agents)},
     )
     _send_queries(balancer, flow, search.queried)
 
 
 def _send_queries(balancer: "Balancer", flow: int, agents: Iterable[str]) -> None:
+    """Ask agents whether their endpoint holds a flow."""
     for address in agents:
         balancer.send(address, hops.encode_note(hops.ASK, flow))
 
@@ -77,10 +88,10 @@
 
 
 def handle_owner_found(balancer: "Balancer", flow: int, owner: str, now: float) -> None:
-    """Send held packets to the owner.
+    """Record a flow's owner and send it the packets that were held.
 
-    The home has passed the first packet on. If all agents were queried instead, it is
-    sent here and the homes record the owner.
+    The packet that started the search was passed on by the home that knew the owner. If
+    no home did, it is sent from here, and the homes record the owner.
     """
     balancer.owners.learn(flow, owner)
     search = balancer.searches.end(flow)
@@ -104,7 +115,7 @@
 def handle_owner_denied(
     balancer: "Balancer", flow: int, agent: str, packet: bytes, now: float
 ) -> None:
-    """Record that an agent's endpoint doesn't hold a flow."""
+    """Record that an agent's endpoint doesn't hold a flow, and continue its search."""
     search = balancer.searches.get(flow)
     if search is None:
         _restart_search(balancer, flow, agent, packet, now)
@@ -122,7 +133,7 @@
 def _restart_search(
     balancer: "Balancer", flow: int, agent: str, packet: bytes, now: float
 ) -> None:
-    """Search again for the owner of a flow that its known owner doesn't hold."""
+    """Search again after the recorded owner of a flow has denied it."""
     if balancer.owners.owner(flow) != agent:
         return
     balancer.owners.learn(flow, "")
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
@@ -140,7 +140,7 @@
 
 
 async def _ping_members(balancer: Balancer) -> None:
-    """Ping all agents and balancers, once per interval."""
+    """Ping all members once per interval, and agents that are starting more often."""
     suspensions = Suspensions()
     loop_time = asyncio.get_running_loop().time
     while True:
@@ -167,6 +167,7 @@
 
 
 def _other_members(balancer: Balancer) -> list[tuple[str, bool]]:
+    """Return address and whether it is an agent, for all members but this balancer."""
     agents = [(member.address, True) for member in balancer.members.agents()]
     own_address = balancer.settings.address
     peers = [
@@ -178,6 +179,7 @@
 
 
 async def _run_ticks(balancer: Balancer) -> None:
+    """Call the balancer's tick at intervals."""
     now: Callable[[], float] = asyncio.get_running_loop().time
     while True:
         await asyncio.sleep(TICK_SECONDS)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/searches.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/searches.py
@@ -52,10 +52,11 @@
             self.held_packets.append(packet)
 
     def is_exhausted(self, is_lost: Callable[[str], bool]) -> bool:
-        """Whether no agent is left that could still serve the flow.
+        """Whether no agent is left that may still hold and serve the flow.
 
-        At least half of all agents must have denied the flow. If most of them are
-        silent, this process is probably cut off from them and the flow may be alive.
+        At least half of the queried agents must have denied the flow themselves. If
+        most of them are silent, this process is probably cut off from them and the flow
+        may be alive.
         """
         denied = self.queried & self.denied_by
         if not denied or 2 * len(denied) < len(self.queried):
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""The days that we add to the users' hunts."""
+"""The days added to the users' hunts."""
 
 import tomllib
 from pathlib import Path
--- a/tests/test_passthrough_dead_flows.py
+++ b/tests/test_passthrough_dead_flows.py
@@ -1,4 +1,4 @@
-"""When a flow is known to be dead, and when it may still live."""
+"""When a flow is dead and reset, and when it may still be alive."""
 
 import pytest
 
@@ -15,10 +15,10 @@
 
 
 def test_a_flow_whose_endpoint_restarted_is_reset_at_once(world):
-    """The caller is told within milliseconds, and can try again in time.
+    """A flow is reset within milliseconds, early enough for the client to retry.
 
-    The endpoint crashes and comes back without its flows. The next packet is sent back
-    by the new process, and the agent, which saw the flow open there, resets it.
+    The endpoint crashes and restarts without its flows. It bounces the next packet, and
+    the agent, which saw the flow open there, resets it.
     """
     client = world.open_flow(over=BALANCERS[0])
     world.run(0.2)
@@ -29,10 +29,10 @@
 
 
 def test_a_flow_that_nobody_holds_is_reset(world):
-    """The caller of a dead flow is told at once, after all have lost their memory.
+    """A flow is reset after endpoints, agents and the balancer have restarted.
 
-    Endpoints and agents restart, the balancer too. Every agent hands the packet to its
-    endpoint and has it sent back; only then is the flow known to be dead.
+    Every agent passes the packet to its endpoint and has it bounced; only then is the
+    flow known to be dead.
     """
     client = world.open_flow(over=BALANCERS[0])
     world.run(0.2)
@@ -46,10 +46,10 @@
 
 
 def test_a_silent_agent_keeps_a_flow_from_being_reset(world):
-    """The caller of a flow that may live is not told that it is dead.
+    """A flow that may be alive is not reset.
 
-    The owner's VM is cut off from all balancers, homes forget; the others say that they
-    don't hold the flow, which is no proof.
+    The owner's VM is cut off from all balancers and the homes have lost the record. The
+    other agents deny the flow, which proves nothing.
     """
     client = world.open_flow(over=BALANCERS[0])
     world.run(0.2)
@@ -67,10 +67,10 @@
 
 
 def test_a_dead_flow_is_reset_as_soon_as_the_last_agent_is_up(world):
-    """The caller is told between its own repeats, 400 ms apart by then.
+    """A dead flow is reset between the client's retransmissions, 400 ms apart by then.
 
-    All VMs have lost power. The question that its packet raised could not reach the
-    last agent, which is asked again the moment it answers.
+    All VMs have lost power. The last agent was not up to receive the query, so it is
+    queried again when it first answers.
     """
     client = world.open_flow(over=BALANCERS[0])
     world.run(0.2)
@@ -90,11 +90,10 @@
 
 
 def test_a_flow_whose_vm_is_gone_is_reset_once_it_has_been_silent(world):
-    """The caller is told at its first packet, and can try again in time.
+    """A flow is reset at its first packet after its VM has been silent for two seconds.
 
-    The owner's VM goes without a word and its entry stays. Waiting for its answer, the
-    search for a flow that it had would never end; after two seconds of silence it
-    counts as unable to serve.
+    The owner's VM disappears and its entry stays. A search that waited for its answer
+    would never end.
     """
     client = world.open_flow(over=BALANCERS[0])
     world.run(0.2)
@@ -110,10 +109,10 @@
 
 
 def test_a_balancer_that_hears_nobody_resets_no_flow(world):
-    """The caller's flow lives on when its balancer was cut off from all agents.
+    """A flow survives a balancer that is cut off from all agents.
 
-    The balancer gets the client's packets and no answers. Taken for the agents' silence
-    its own would end every flow that comes over it.
+    The balancer receives the client's packets and no answers. If it took the agents for
+    dead, it would reset every flow that reaches it.
     """
     client = world.open_flow(over=BALANCERS[0])
     world.run(0.2)
@@ -126,11 +125,11 @@
 
 
 def test_a_flow_that_opened_before_the_first_report_of_a_new_life_lives_on(world):
-    """The caller's flow goes on at an endpoint that has just started.
+    """A flow that opens at a restarted endpoint before its first report survives.
 
-    The endpoint crashes and is back at once. A flow opens there before its first
-    report, by which the agent learns that a new life has begun. Flows of the old life
-    are reset by that; this one belongs to the new life.
+    The endpoint crashes and restarts at once. The agent learns of the new incarnation
+    by its first report and resets the flows of the old one; the new flow is not among
+    them.
     """
     for address in ORDERS[1:]:
         world.endpoints[address].accepts = False
@@ -151,10 +150,11 @@
 
 
 def test_an_endpoint_that_goes_takes_no_flow_of_another_with_it(world):
-    """The caller's flow goes on while an endpoint that never answered it goes away.
+    """A flow survives the stop of an endpoint that never answered it.
 
-    The first packet went to an endpoint that had just crashed. Its repeat opened the
-    flow at another one. Later the first agent learns that its endpoint is gone.
+    The first packet went to an endpoint that had just crashed, and its retransmission
+    opened the flow at another one. Later the first agent detects that its endpoint is
+    gone.
     """
     client = world.new_client(0x64400007, 443)
     client.asks_at_once = True
@@ -179,10 +179,10 @@
 
 
 def test_a_balancer_that_knows_few_members_takes_no_flow_for_dead(world):
-    """The caller's flow lives on while a balancer starts without the store.
+    """A flow survives a balancer that has started without the store.
 
-    A balancer is restarted, cut off from the store, and one agent has spoken up. That
-    agent says that it doesn't hold the flow; the others are not known to be there.
+    The balancer knows a single agent that announced itself. That agent denies the flow,
+    but the other agents are not known yet.
     """
     client = world.open_flow(over=BALANCERS[0])
     world.run(0.2)
@@ -203,10 +203,10 @@
 
 
 def test_questions_of_a_crowd_of_dead_flows_are_spread(world):
-    """Callers of dead flows are told one after the other, and the balancer stays up.
+    """Searches for many dead flows are rate limited.
 
-    All endpoints lost their flows. Asked at once, the questions for each flow to each
-    agent fill a small VM's link, and with them go the answers to its pings.
+    All endpoints lost their flows. Queries for every flow to every agent, sent at once,
+    fill a small VM's link, and the pongs are lost with them.
     """
     clients = [world.open_flow(over=BALANCERS[0]) for _ in range(40)]
     world.run(0.5)
@@ -227,10 +227,10 @@
 
 
 def test_an_agent_whose_endpoint_had_gone_is_not_waited_for(world):
-    """The caller of a dead flow is told without the wait for a silent agent.
+    """A dead flow is reset without waiting for an agent whose endpoint was down.
 
-    A VM's endpoint left, then the VM goes without a word. Whatever the endpoint held
-    ended with it, so its silence can hide nothing.
+    The endpoint stopped before its VM disappeared, and its flows ended with it, so the
+    agent's silence leaves nothing open.
     """
     client = world.open_flow(over=BALANCERS[0])
     world.run(0.2)
--- a/tests/test_passthrough_faults.py
+++ b/tests/test_passthrough_faults.py
@@ -1,4 +1,4 @@
-"""Open flows under lossy links, cuts, VMs that stand still, and routers by modulo."""
+"""Open flows under packet loss, partitions, suspended VMs and routers by modulo."""
 
 import ast
 from pathlib import Path
@@ -31,22 +31,22 @@
     return clients
 
 
-def ask_all(world, clients, seconds):
+def request_all(world, clients, seconds):
     for client in clients:
         client.request()
     world.run(seconds)
 
 
-def assert_none_broke(clients, answers):
+def assert_all_answered(clients, answers):
     for client in clients:
         assert client.events == ["open", *["answer"] * answers]
 
 
 def test_flows_stay_when_the_rotation_changes(world):
-    """Callers see answers only, while nearly all their flows change balancers.
+    """Flows survive when the routers send them over other balancers.
 
-    A third balancer joins, then the first leaves in order; the routers pick by a hash
-    modulo the rotation. Neither newcomer knows any of the flows.
+    A third balancer joins, then the first one stops. The routers pick by hash modulo
+    the rotation, so most flows reach a balancer that doesn't know them.
     """
     clients = open_flows(world)
     owners = [owner_of(world, client) for client in clients]
@@ -55,37 +55,36 @@
     world.run(1.0)
     after = [world.routers.route(c.address << 16 | c.port) for c in clients]
     assert sum(a != b for a, b in zip(before, after, strict=True)) > FLOWS / 3
-    ask_all(world, clients, 0.5)
+    request_all(world, clients, 0.5)
     world.balancers[BALANCERS[0]].stopping = True
     world.run(1.5)
     assert BALANCERS[0] not in world.routers.rotation()
-    ask_all(world, clients, 0.5)
-    assert_none_broke(clients, 3)
+    request_all(world, clients, 0.5)
+    assert_all_answered(clients, 3)
     assert [owner_of(world, client) for client in clients] == owners
 
 
 @pytest.mark.parametrize("share", [0.02, 0.1])
 def test_flows_stay_on_lossy_links(world, share):
-    """Callers see answers that are late by their repeats, and no reset.
+    """Flows survive random loss of datagrams on every link, with late answers only.
 
-    Each datagram on every link is lost by chance: packets, pings, words of owners.
+    Packets, pings and the agents' ownership messages are lost alike.
     """
     clients = open_flows(world)
     world.lost = lambda source, target, data: world.chance.random() < share
     for _ in range(3):
-        ask_all(world, clients, 4.0)
+        request_all(world, clients, 4.0)
     world.lost = lambda source, target, data: False
     world.run(3.0)
-    assert_none_broke(clients, 4)
+    assert_all_answered(clients, 4)
 
 
 @pytest.mark.parametrize("one_way", [False, True])
 def test_flows_stay_while_a_balancer_is_cut_from_agents(world, one_way):
-    """Callers over the cut balancer wait until the cut heals; none sees a reset.
+    """Flows are not reset while one of two balancers is cut off from all orders agents.
 
-    One of two balancers reaches none of the agents of orders for three seconds, or
-    reaches them and hears nothing. It can't tell their silence from their death, and
-    the other balancer tells its clients nothing wrong either.
+    The cut lasts three seconds and affects both directions or only what the balancer
+    receives. It can't tell silent agents from dead ones, so flows wait until it heals.
     """
     clients = open_flows(world)
 
@@ -96,49 +95,49 @@
         return between and (inward or not one_way)
 
     world.lost = lost
-    ask_all(world, clients, 3.0)
+    request_all(world, clients, 3.0)
     assert not any("reset" in client.events for client in clients)
     world.lost = lambda source, target, data: False
     world.run(3.0)
-    assert_none_broke(clients, 2)
+    assert_all_answered(clients, 2)
 
 
 def test_flows_stay_while_a_balancer_stands_still(world):
-    """Callers are served over the other balancer; the one that wakes harms nobody.
+    """Flows survive a balancer whose VM is suspended for three seconds.
 
-    A balancer's VM is suspended for three seconds. It wakes with what was sent to it
-    meanwhile and with views three seconds old.
+    Clients are served over the other balancer. The suspended one resumes with the
+    datagrams sent meanwhile and with a view that is three seconds old.
     """
     clients = open_flows(world)
     world.freeze(BALANCERS[0], 3.0)
-    ask_all(world, clients, 3.0)
+    request_all(world, clients, 3.0)
     world.run(2.0)
-    assert_none_broke(clients, 2)
-    ask_all(world, clients, 1.0)
-    assert_none_broke(clients, 3)
+    assert_all_answered(clients, 2)
+    request_all(world, clients, 1.0)
+    assert_all_answered(clients, 3)
 
 
 def test_flows_stay_while_an_agents_vm_stands_still(world):
-    """Callers wait for a second and a half, then get their answers.
+    """Flows survive when the VM of their endpoint is suspended for 1.5 s.
 
-    The VM stands still with its endpoint. Its agent is no longer placed on; its flows
-    are neither reset nor taken up by another endpoint.
+    No new flow is placed on its agent; its flows are neither reset nor opened at
+    another endpoint, and are answered after it resumes.
     """
     clients = open_flows(world)
     frozen = ORDERS[0]
-    mine = [client for client in clients if owner_of(world, client) == frozen]
-    assert mine
+    owned_clients = [client for client in clients if owner_of(world, client) == frozen]
+    assert owned_clients
     world.freeze(frozen, 1.5)
-    ask_all(world, clients, 1.4)
-    others = [client for client in clients if client not in mine]
-    assert_none_broke(others, 2)
+    request_all(world, clients, 1.4)
+    others = [client for client in clients if client not in owned_clients]
+    assert_all_answered(others, 2)
     world.run(2.0)
-    assert_none_broke(clients, 2)
-    assert {owner_of(world, client) for client in mine} == {frozen}
+    assert_all_answered(clients, 2)
+    assert {owner_of(world, client) for client in owned_clients} == {frozen}
 
 
 def forget_owners(world):
-    """Have balancers and homes forget who owns which flow."""
+    """Clear the flow owners that balancers and homes have recorded."""
     for balancer in world.balancers.values():
         balancer.owners.owners.clear()
     for agent in world.agents.values():
@@ -146,10 +145,10 @@
 
 
 def test_a_balancer_that_hears_few_agents_takes_no_flow_for_dead(world):
-    """Callers wait until the cut heals; a reset would end orders that live.
+    """A restarted balancer that is cut off from the orders agents resets no flow.
 
-    A balancer is restarted while it is cut from the agents of orders. No home knows
-    the flows. The others say that they don't hold them, which proves nothing.
+    No home knows the flows. The other agents deny them, which proves nothing while the
+    orders agents are silent.
     """
     clients = open_flows(world)
     forget_owners(world)
@@ -157,33 +156,33 @@
     world.lost = lambda source, target, data: bool(
         {source[0], target[0]} & set(ORDERS) and BALANCERS[0] in (source[0], target[0])
     )
-    ask_all(world, clients, 3.0)
+    request_all(world, clients, 3.0)
     assert not any("reset" in client.events for client in clients)
     world.lost = lambda source, target, data: False
     world.run(4.0)
-    assert_none_broke(clients, 2)
+    assert_all_answered(clients, 2)
 
 
 def test_a_vm_that_stands_still_for_a_moment_keeps_its_flows(world):
-    """Callers get their answers when the VM wakes, though nobody knows the owner.
+    """Flows of a VM that is suspended for about a second are not reset.
 
-    All agents are asked. All but the one that stands still say no at once; its flows
-    would be reset if its silence of a second were taken for a no.
+    All agents are queried, as no home knows the owner. All but the suspended one deny
+    the flows; its short silence must not count as a denial.
     """
     clients = open_flows(world)
     forget_owners(world)
     world.freeze(ORDERS[0], 1.2)
-    ask_all(world, clients, 1.1)
+    request_all(world, clients, 1.1)
     assert not any("reset" in client.events for client in clients)
     world.run(3.0)
-    assert_none_broke(clients, 2)
+    assert_all_answered(clients, 2)
 
 
 def test_cut_and_loss_and_restart_together(world):
-    """Callers of living endpoints see no reset while three faults overlap.
+    """Flows at live endpoints are not reset while three faults overlap.
 
-    Links lose a twentieth, one balancer is cut from one agent, and another agent is
-    restarted beside its endpoint meanwhile.
+    Links lose a twentieth of the datagrams, one balancer is cut off from one agent, and
+    another agent restarts beside its endpoint.
     """
     clients = open_flows(world)
 
@@ -192,18 +191,19 @@
         return is_cut or world.chance.random() < 0.05
 
     world.lost = lost
-    ask_all(world, clients, 0.5)
+    request_all(world, clients, 0.5)
     world.start_agent(ORDERS[2])
     world.run(1.0)
     world.lost = lambda source, target, data: False
     world.run(5.0)
-    assert_none_broke(clients, 2)
+    assert_all_answered(clients, 2)
 
 
 def test_no_decision_depends_on_the_time_of_day():
-    """The time of day jumps by seconds on the platform's VMs, and back again.
+    """No module reads the wall clock.
 
-    What decides by it would take living agents for silent, or flows for old.
+    The wall clock of the platform's VMs jumps by seconds in both directions. Decisions
+    by it would take live agents for silent, or new flows for old.
     """
     folders = ("packages/cornelspan-passthrough/src", "platform")
     for folder in folders:
--- a/tests/test_passthrough_first_packets.py
+++ b/tests/test_passthrough_first_packets.py
@@ -1,4 +1,4 @@
-"""Where first packets go, when they wait, and when they are refused."""
+"""Where first packets are placed, when they are held, and when they are rejected."""
 
 import pytest
 
@@ -19,10 +19,10 @@
 
 
 def test_an_endpoint_that_drains_takes_no_new_flow(world):
-    """The caller's new flows open at once, at endpoints that stay.
+    """New flows open at once at the endpoints that stay.
 
-    Two endpoints say that they leave. Balancers may hear of it late; the agents
-    themselves hand first packets back from that moment.
+    Two endpoints start to drain. Balancers may learn of it late; the agents reject
+    first packets from that moment on.
     """
     for address in ORDERS[:2]:
         world.endpoints[address].accepts = False
@@ -35,10 +35,10 @@
 
 
 def test_an_address_that_another_service_took_over_refuses_the_old_one(world):
-    """The caller's order never reaches the receipts' endpoint.
+    """A first packet for orders never reaches the receipts endpoint.
 
-    An orders' VM is gone and its address belongs to a receipts' VM. The balancer has
-    the old listing; the agent refuses by the tag of the service.
+    The VM of an orders endpoint is gone and its address belongs to a receipts VM. The
+    balancer still has the old member; the agent rejects by the service tag.
     """
     address = ORDERS[0]
     world.members[address] = world.members[RECEIPTS[0]]
@@ -51,10 +51,10 @@
 
 
 def test_a_first_packet_waits_for_the_configuration(world):
-    """The caller's flow opens before its own repeat after 200 ms.
+    """A first packet that arrives before the configuration opens its flow in time.
 
-    A balancer is up and has not read the configuration yet. A first packet dropped
-    then is repeated 200 ms later at the earliest, though the route is known after 50.
+    If it were dropped, the client would retransmit after 200 ms at the earliest, though
+    the route is known after 50 ms.
     """
     balancer = world.balancers[BALANCERS[0]]
     known = balancer.routes.configuration
@@ -68,10 +68,10 @@
 
 
 def test_a_first_packet_waits_while_members_come(world):
-    """The caller's flow opens as soon as the service's first agent is known.
+    """A flow opens as soon as the first agent of its service is known.
 
-    Members are being listed, and the balancer has not heard of this service's agent
-    yet, though it is there. Refused, the caller would have to try again.
+    Members are being registered, and the balancer doesn't know this service's agent
+    yet. If the first packet were rejected, the client would have to retry.
     """
     for address in ORDERS:
         del world.members[address]
@@ -87,7 +87,7 @@
 
 
 def test_a_first_packet_for_a_service_without_agents_is_refused_at_once(world):
-    """The caller learns it at once when no member has come or gone of late."""
+    """A flow is rejected at once if the members have not changed recently."""
     for address in ORDERS:
         del world.members[address]
     world.tell_members()
@@ -98,10 +98,10 @@
 
 
 def test_a_balancer_without_a_configuration_refuses_nothing(world):
-    """The caller's flow, opened over another balancer meanwhile, is not reset.
+    """A flow that opened over another balancer is not reset.
 
-    The store is away and this balancer has just started; the routers take it out of
-    the rotation, and the copy of the first packet goes over the other one.
+    The store is unreachable for a balancer that has just started. The routers remove
+    it, and the client's retransmission goes over the other balancer.
     """
     world.balancers[BALANCERS[0]].routes = RouteTable()
     client = world.open_flow(over=BALANCERS[0])
@@ -115,7 +115,7 @@
 
 
 def test_a_balancer_that_stood_still_refuses_no_old_first_packet(world):
-    """The caller's flow, opened over another balancer meanwhile, is not reset."""
+    """A balancer that was suspended does not reset a flow that its client gave up."""
     for address in ORDERS:
         del world.members[address]
     world.tell_members()
@@ -128,10 +128,10 @@
 
 
 def test_a_first_packet_waits_for_an_agent_that_comes_up(world):
-    """The caller's flow opens before its own repeat after 200 ms.
+    """A flow opens before the client's retransmission after 200 ms.
 
-    All VMs have lost power, and the balancer is up first. A first packet sent to a VM
-    whose agent is not there yet would be lost, so it waits for the first answer.
+    All VMs have lost power and the balancer is up first. A first packet sent to a VM
+    whose agent is not up yet would be lost, so it is held for the first pong.
     """
     for address in (*ORDERS, *RECEIPTS):
         world.remove(address)
@@ -146,7 +146,7 @@
 
 
 def test_a_first_packet_that_no_agent_takes_is_refused(world):
-    """The caller is told after a second, in time for a try of its own.
+    """A flow is rejected after a second, early enough for the client to retry.
 
     All agents are gone for good and the balancer has just started.
     """
--- a/tests/test_passthrough_members.py
+++ b/tests/test_passthrough_members.py
@@ -1,4 +1,4 @@
-"""Which entries of members stay, and who takes them away."""
+"""Which members' entries stay in the store, and which balancer removes the others."""
 
 import pytest
 
@@ -12,10 +12,10 @@
 
 
 def test_entries_of_silent_members_are_removed_by_one_balancer(world):
-    """Operators find no entries of VMs that were replaced long ago.
+    """The entry of a dead VM is removed by exactly one balancer.
 
-    A VM has gone without a word. After a minute one of the balancers takes its entry
-    away; they agree on which by rank.
+    A VM disappears without stopping its daemon. After a minute one of the balancers
+    removes its entry; which one follows from a hash.
     """
     world.remove(ORDERS[0])
     for _ in range(14):
@@ -34,10 +34,11 @@
 
 
 def test_a_member_that_only_spoke_for_itself_is_forgotten_too(world):
-    """Operators find no balancer that pings a VM which is long gone.
+    """An announced member without a store entry is dropped once it is dead.
 
-    An agent came up while the store turned it away and spoke to the seeds. Its VM goes
-    without a word; there is no entry whose removal the balancers would hear of.
+    An agent announced itself to the seeds while the store was unreachable for it, then
+    its VM disappeared. There is no entry whose removal a balancer could watch, so
+    without this it would be pinged forever.
     """
     announced = Member("10.9.0.11", AGENT, "hall", "orders")
     balancer = world.balancers[BALANCERS[0]]
--- a/tests/test_passthrough_placing.py
+++ b/tests/test_passthrough_placing.py
@@ -1,4 +1,4 @@
-"""Which endpoint takes a new flow."""
+"""Which endpoint a new flow is placed on."""
 
 import random
 
@@ -42,9 +42,10 @@
 
 
 def test_a_slow_endpoint_that_is_idle_takes_less_than_a_busy_sound_one():
-    """Callers' requests are not sent where they would take eight times as long.
+    """A flow is not placed where its requests would take eight times as long.
 
-    In its own paces a slow endpoint has as little to do as a sound one, or less.
+    Measured by its own service time, a slow endpoint has no more queued work than a
+    healthy one.
     """
     sound = {
         "b": health(running=4, service_time=50),
@@ -54,19 +55,19 @@
 
 
 def test_paces_that_differ_by_chance_do_not_count():
-    paces = {
+    service_times = {
         "b": health(running=1, service_time=50),
         "c": health(running=1, service_time=40),
     }
-    assert chosen(a=health(service_time=70), **paces) == "a"
+    assert chosen(a=health(service_time=70), **service_times) == "a"
 
 
 def test_an_endpoint_of_unknown_pace_is_taken_for_a_usual_one():
-    paces = {
+    service_times = {
         "b": health(running=1, service_time=50),
         "c": health(running=1, service_time=40),
     }
-    assert chosen(a=health(service_time=0), **paces) == "a"
+    assert chosen(a=health(service_time=0), **service_times) == "a"
 
 
 def request(flows, number, at):
@@ -89,7 +90,7 @@
 
 
 def test_an_agent_forgets_the_pace_of_an_endpoint_that_has_had_nothing_to_do():
-    """An endpoint that was slow once is tried again though no request told better."""
+    """The service time of an idle endpoint expires, so a slow one is tried again."""
     flows = FlowTable(flow_seconds=60)
     owned = request(flows, 1, 10.0)
     flows.answered(1, owned, 10, 10.4)
@@ -108,10 +109,10 @@
 
 
 def test_an_empty_endpoint_that_takes_nothing_yet_is_not_tried_for_each_flow():
-    """Callers' flows open without a detour while a new endpoint starts.
+    """Flows open without a detour while a new endpoint starts.
 
-    The new one has no flow at all, so it seems the least loaded; it sends each first
-    packet back. It is passed over for a while after the first.
+    The new endpoint has no flows and seems the least loaded, but it rejects every first
+    packet. After the first rejection it gets no flow for a cooldown.
     """
     world = PacketWorld(seed=1)
     world.add_agent("10.1.0.11", "orders")
@@ -128,15 +129,15 @@
     assert starting.counts["flows_handed_back"] <= 2
 
 
-ORDERS = tuple(f"10.{zone}.0.11" for zone in range(1, 7))
+ORDERS = tuple(f"10.{datacentre}.0.11" for datacentre in range(1, 7))
 
 
 def test_a_crowd_after_a_loss_of_power_is_spread_over_all_that_come_up():
-    """Callers of a crowd wait for a fair share of all endpoints, not for one of them.
+    """After a power loss, held first packets are spread over all endpoints.
 
-    All VMs have lost power; the balancer is up first and holds first packets. Agents
-    come up 30 ms apart. Sent out at the first answer, all would fall on one endpoint;
-    held until all are there, the first one's slots would stand empty.
+    The balancer is up first and holds first packets; agents start 30 ms apart. Sent at
+    the first pong, all flows would go to one endpoint. Held until all agents are up,
+    the first endpoint's slots would stay idle.
     """
     world = PacketWorld(seed=1)
     for address in ORDERS:
@@ -150,16 +151,16 @@
     answered_early = 0
     for address in ORDERS:
         world.start_agent(address)
-        most_at_once = max(most_at_once, most_in(world, 0.03))
+        most_at_once = max(most_at_once, peak_load(world, 0.03))
         answered_early = sum("answer" in client.events for client in clients)
-    most_at_once = max(most_at_once, most_in(world, 1.0))
+    most_at_once = max(most_at_once, peak_load(world, 1.0))
     assert all(client.events[:1] == ["open"] for client in clients)
     assert most_at_once <= 6
     assert answered_early >= 5
 
 
-def most_in(world, seconds):
-    """Let time pass; return the most requests that one agent had at once."""
+def peak_load(world, seconds):
+    """Run for some seconds; return the most requests that one agent had at once."""
     most = 0
     for _ in range(round(seconds * 1000)):
         world.run(0.001)
@@ -171,10 +172,10 @@
 
 
 def test_an_agent_with_a_long_line_sends_new_flows_on():
-    """Callers' new flows open where there is room, though the balancer's view is old.
+    """New flows open at an idle endpoint though the balancer's view is outdated.
 
-    Another balancer has just filled one endpoint. This one believes it to be idle; the
-    agent hands first packets back, and says how busy it is.
+    Another balancer has just filled one endpoint, which this one believes to be idle.
+    The agent rejects first packets and reports its load.
     """
     world = PacketWorld(seed=1)
     for address in ORDERS[:2]:
@@ -196,10 +197,10 @@
 
 
 def test_flows_that_ended_are_no_load():
-    """Callers' new flows go to the endpoint with less work to come.
+    """Flows that have ended do not count as load.
 
-    A flow is remembered for a while after its end, for late packets. Counted as open, a
-    crowd of short flows made an endpoint look busy for ten seconds.
+    A flow is remembered for a while after its end, for late packets. If it counted as
+    open, many short flows would make an endpoint look busy for ten seconds.
     """
     table = FlowTable(flow_seconds=60.0)
     for number in range(3):
--- a/tests/test_shirakaba_processes.py
+++ b/tests/test_shirakaba_processes.py
@@ -23,7 +23,7 @@
 
 
 class Socket(asyncio.DatagramProtocol):
-    """A UDP socket that hands what it gets to a function."""
+    """A UDP socket that passes received datagrams to a function."""
 
     def __init__(self, received):
         self.received = received
@@ -32,7 +32,7 @@
         self.received(data)
 
 
-async def udp(address, received):
+async def open_udp_socket(address, received):
     loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(
         lambda: Socket(received), local_addr=address
@@ -45,7 +45,7 @@
 
 
 class Deployment:
-    """Processes of the adapter on loopback addresses, one a VM."""
+    """Processes of the adapter on loopback addresses, one per VM."""
 
     def __init__(self, folder, base_port):
         self.folder = folder
@@ -63,7 +63,7 @@
     def address(self, vm, port):
         return f"{vm}:{self.ports[port]}"
 
-    def settings(self, vm, **more):
+    def settings(self, vm, **overrides):
         return {
             "name": f"vm-{vm}",
             "datacentre": "chuo-hall",
@@ -73,12 +73,12 @@
             "internal_port": self.ports["internal"],
             "store": {"address": self.address("127.0.0.1", "store")},
             "grace_seconds": 3.0,
-            **more,
+            **overrides,
         }
 
-    async def start(self, role, vm, **more):
+    async def start(self, role, vm, **overrides):
         file = self.folder / f"{vm}.json"
-        file.write_text(json.dumps(self.settings(vm, **more)))
+        file.write_text(json.dumps(self.settings(vm, **overrides)))
         self.processes[vm] = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -104,7 +104,7 @@
         endpoint = PacketEndpoint(
             service, lambda data: transport.sendto(data, outbound), after, random
         )
-        transport = await udp((vm, self.ports["app"]), endpoint.receive)
+        transport = await open_udp_socket((vm, self.ports["app"]), endpoint.receive)
         self.endpoints.append(transport)
         server = await asyncio.start_server(
             lambda reader, writer: writer.close(), vm, self.ports["app"]
@@ -134,7 +134,7 @@
         address = self.address(vm, "reports")
         async with asyncio.timeout(SETTLE_SECONDS):
             while True:
-                # As endpoints do, try again: an agent serves packets before calls.
+                # Agents serve packets before HTTP calls, so retry as endpoints do.
                 try:
                     return (await self.call("POST", address, path, encoded)).code
                 except OSError:
@@ -153,7 +153,7 @@
             return 0
 
     async def open_flow(self, over, port):
-        """Open a flow over a balancer; returns the client."""
+        """Open a flow over a balancer; return the client."""
         target = (over, self.ports["packets"])
         client = PacketClient(
             int.from_bytes(bytes(int(part) for part in CLIENT.split(".")), "big"),
@@ -174,84 +174,86 @@
 
 @pytest.fixture
 async def deployment(tmp_path, base_port):
-    here = Deployment(tmp_path, base_port)
-    here.clients = await udp((CLIENT, here.ports["packets"]), here.to_client)
-    with platform_store(("127.0.0.1", here.ports["store"]), here.objects):
-        yield here
-        for process in here.processes.values():
+    system = Deployment(tmp_path, base_port)
+    system.clients = await open_udp_socket(
+        (CLIENT, system.ports["packets"]), system.to_client
+    )
+    with platform_store(("127.0.0.1", system.ports["store"]), system.objects):
+        yield system
+        for process in system.processes.values():
             if process.returncode is None:
                 process.kill()
             await process.communicate()
-    for transport in (here.clients, *here.endpoints):
+    for transport in (system.clients, *system.endpoints):
         transport.close()
 
 
-async def until(condition):
+async def wait_until(condition):
     async with asyncio.timeout(SETTLE_SECONDS):
         while not condition():
             await asyncio.sleep(0.02)
 
 
 async def test_flows_run_through_processes_and_restarts(deployment):
-    """Callers' flows open, go on while daemons are stopped, and nothing is left over.
+    """Flows open, and survive the restart of an agent and the stop of a balancer.
 
-    An agent is restarted beside its living endpoint, then one balancer stops: it says
-    that it isn't ready, forwards for a while, and ends with 0.
+    The agent restarts beside its live endpoint. The balancer reports that it isn't
+    ready, keeps forwarding for a while, and exits with status 0.
     """
-    here = deployment
-    here.objects.put("config", "main", configuration_spec(3))
+    system = deployment
+    system.objects.put("config", "main", configuration_spec(3))
     agents = {"127.0.1.1": "orders", "127.0.1.2": "receipts"}
-    endpoints = {vm: await here.start_agent(vm, name) for vm, name in agents.items()}
+    endpoints = {vm: await system.start_agent(vm, name) for vm, name in agents.items()}
     for vm in ("127.0.2.1", "127.0.2.2"):
-        await here.start("balancer", vm)
+        await system.start("balancer", vm)
     for vm in ("127.0.2.1", "127.0.2.2"):
-        await here.until_ready(vm)
-    assert await here.report("127.0.1.1", "orders", 1) == 200
-    client = await here.open_flow("127.0.2.1", 40_001)
-    await until(lambda: client.events == ["open", "answer"])
+        await system.until_ready(vm)
+    assert await system.report("127.0.1.1", "orders", 1) == 200
+    client = await system.open_flow("127.0.2.1", 40_001)
+    await wait_until(lambda: client.events == ["open", "answer"])
     assert endpoints["127.0.1.1"].opened == 1
     assert endpoints["127.0.1.2"].opened == 0
 
-    agent = here.processes["127.0.1.1"]
+    agent = system.processes["127.0.1.1"]
     agent.send_signal(signal.SIGTERM)
     assert await agent.wait() == 0
-    await here.start(
+    await system.start(
         "agent",
         "127.0.1.1",
         service="orders",
-        endpoint=here.address("127.0.1.1", "app"),
-        outbound=here.address("127.0.1.1", "outbound"),
-        reports=here.address("127.0.1.1", "reports"),
+        endpoint=system.address("127.0.1.1", "app"),
+        outbound=system.address("127.0.1.1", "outbound"),
+        reports=system.address("127.0.1.1", "reports"),
         report_milliseconds=500,
     )
     client.request()
-    await until(lambda: client.events == ["open", "answer", "answer"])
+    await wait_until(lambda: client.events == ["open", "answer", "answer"])
 
-    balancer = here.processes["127.0.2.1"]
+    balancer = system.processes["127.0.2.1"]
     balancer.send_signal(signal.SIGHUP)
     balancer.send_signal(signal.SIGTERM)
     await asyncio.sleep(0.2)
-    address = here.address("127.0.2.1", "ready")
-    assert await here.readiness(address) == 503
-    client.send = lambda data: here.clients.sendto(
-        data, ("127.0.2.2", here.ports["packets"])
+    address = system.address("127.0.2.1", "ready")
+    assert await system.readiness(address) == 503
+    client.send = lambda data: system.clients.sendto(
+        data, ("127.0.2.2", system.ports["packets"])
     )
     client.request()
-    await until(lambda: len(client.events) == 4)
+    await wait_until(lambda: len(client.events) == 4)
     assert "reset" not in client.events
     assert await balancer.wait() == 0
 
 
 async def test_settings_that_change_are_taken_in_without_a_restart(deployment):
-    """The operator's new file is in force without a stop; a bad one changes nothing.
+    """A changed settings file is applied without a restart; an invalid one is ignored.
 
-    The file is written anew without a signal, then again with a mistake and SIGHUP.
-    What a running process can't change is named in its log.
+    The file is rewritten without a signal, then with an error and SIGHUP. The log names
+    what takes effect at the next start.
     """
-    here = deployment
-    await here.start("balancer", "127.0.2.1", metrics_port=None)
-    process = here.processes["127.0.2.1"]
-    file = here.folder / "127.0.2.1.json"
+    system = deployment
+    await system.start("balancer", "127.0.2.1", metrics_port=None)
+    process = system.processes["127.0.2.1"]
+    file = system.folder / "127.0.2.1.json"
 
     async def line_of(event):
         async with asyncio.timeout(SETTLE_SECONDS):
@@ -261,7 +263,7 @@
                     return line
 
     await line_of("started")
-    file.write_text(json.dumps(here.settings("127.0.2.1", learned_flows=7, name="x")))
+    file.write_text(json.dumps(system.settings("127.0.2.1", learned_flows=7, name="x")))
     line = await line_of("settings reloaded")
     assert line["in_force"] == ["learned_flows"]
     assert line["at_next_start"] == ["name"]
@@ -273,14 +275,14 @@
 
 
 async def test_a_bad_report_is_refused_with_its_reason(deployment):
-    here = deployment
-    await here.start_agent("127.0.1.1", "orders")
-    address = here.address("127.0.1.1", "reports")
+    system = deployment
+    await system.start_agent("127.0.1.1", "orders")
+    address = system.address("127.0.1.1", "reports")
     path = "/cornelspan/Instances.Heartbeat/i-1"
     async with asyncio.timeout(SETTLE_SECONDS):
         while True:
             try:
-                answer = await here.call("POST", address, path, b'{"service": 3}')
+                answer = await system.call("POST", address, path, b'{"service": 3}')
                 break
             except OSError:
                 await asyncio.sleep(0.05)
--- a/tests/test_shirakaba_records.py
+++ b/tests/test_shirakaba_records.py
@@ -1,4 +1,4 @@
-"""What the adapter makes of others' records, whatever they hold."""
+"""How the adapter decodes the platform's records, whatever they contain."""
 
 import msgspec
 import pytest
@@ -43,17 +43,19 @@
     ),
     max_leaves=8,
 )
-# Values of every type and size in the place of one field of a good record.
-odd_values = json_values | st.sampled_from([-1, 0, 1 << 70, 1.5, True, "", "x" * 300])
+# Values of every type and size in place of one field of a valid record.
+arbitrary_values = json_values | st.sampled_from(
+    [-1, 0, 1 << 70, 1.5, True, "", "x" * 300]
+)
 
 
-def listed(name="10.1.0.11", **spec):
+def member_object(name="10.1.0.11", **spec):
     full = {"role": "agent", "datacentre": "hall", "service": "orders"} | spec
     return {"meta": {"name": name, "revision": 3}, "spec": full}
 
 
-def page(*items, more=False):
-    body = {"items": list(items), "current-rev": 7, "has-more": more}
+def page(*items, has_more=False):
+    body = {"items": list(items), "current-rev": 7, "has-more": has_more}
     return decode_page(msgspec.json.encode(body))
 
 
@@ -87,10 +89,10 @@
     ],
 )
 def test_a_report_with_an_odd_field_is_refused_with_a_reason(field, value):
-    """The endpoint that the report seems to come from is left as it was.
+    """A report with an invalid field leaves the state of the endpoint unchanged.
 
-    Another writer sent it. Taken as ready, or with a figure that no endpoint has, it
-    would change where flows go.
+    Another writer sent it. Accepted as ready, or with a value that no endpoint has, it
+    would change where flows are placed.
     """
     body = msgspec.json.encode(REPORT | {field: value})
     call = read_call(Call("POST", f"{HEARTBEAT_PATH}i-1", body))
@@ -112,7 +114,7 @@
     assert isinstance(read_call(Call("POST", f"{LEAVE_PATH}i-1", b"[")), Refused)
 
 
-@given(st.sampled_from(sorted(REPORT)), odd_values)
+@given(st.sampled_from(sorted(REPORT)), arbitrary_values)
 def test_no_field_of_a_report_raises(field, value):
     try:
         body = msgspec.json.encode(REPORT | {field: value})
@@ -138,11 +140,11 @@
 
 @given(json_values)
 def test_no_object_raises_or_hides_a_good_one(odd):
-    """Members and configuration come through while an odd entry lies beside them.
+    """Members and configuration are decoded beside an entry of any other form.
 
-    Another writer left it, and the store hands it out with each listing and each watch.
+    Another writer left it, and the store returns it with each list and each watch.
     """
-    good = listed()
+    good = member_object()
     try:
         body = {"items": [odd, good, odd], "current-rev": 7}
         found = decode_page(msgspec.json.encode(body)).unwrap()
@@ -158,10 +160,10 @@
 ORDERS_IN_HALL = Member("10.1.0.11", "agent", "hall", "orders")
 
 
-@given(st.sampled_from(["role", "datacentre", "service"]), odd_values)
+@given(st.sampled_from(["role", "datacentre", "service"]), arbitrary_values)
 def test_no_field_of_a_member_raises(field, value):
     try:
-        body = {"items": [listed(**{field: value})], "current-rev": 7}
+        body = {"items": [member_object(**{field: value})], "current-rev": 7}
         found = decode_page(msgspec.json.encode(body)).unwrap()
     except (OverflowError, UnicodeEncodeError):
         return
@@ -175,25 +177,28 @@
     "name", ["", "10.1.0", "vm-1", "10.1.0.11:80", "::1", "0.0.0.0", "10.1.0.256"]
 )
 def test_a_member_whose_name_is_no_address_is_left_out(name):
-    for each in page(listed(name)).unwrap().objects:
+    for each in page(member_object(name)).unwrap().objects:
         assert isinstance(decode_member(each), Err)
 
 
 def test_an_agent_without_a_service_is_left_out():
-    (found,) = page(listed(service="")).unwrap().objects
+    (found,) = page(member_object(service="")).unwrap().objects
     assert isinstance(decode_member(found), Err)
 
 
 def test_what_is_no_object_is_told_with_a_reason():
-    found = page({"meta": 7}, listed(), "x").unwrap()
+    found = page({"meta": 7}, member_object(), "x").unwrap()
     assert len(found.objects) == 1
     assert len(found.unreadable) == 2
     assert all(each.reason for each in found.unreadable)
 
 
 def test_the_next_page_begins_after_the_last_name_that_can_be_read():
-    assert page(listed("10.1.0.7"), {"meta": {}}, more=True).unwrap().last == "10.1.0.7"
-    assert isinstance(page({"meta": {}}, more=True), Err)
+    assert (
+        page(member_object("10.1.0.7"), {"meta": {}}, has_more=True).unwrap().last
+        == "10.1.0.7"
+    )
+    assert isinstance(page({"meta": {}}, has_more=True), Err)
 
 
 @pytest.mark.parametrize(
@@ -232,10 +237,10 @@
 
 
 def test_a_member_whose_entry_was_overwritten_stays_known():
-    """Flows of a sound endpoint are not taken for dead.
+    """Flows of a live endpoint do not count as dead.
 
-    Another writer overwrites the agent's entry. The agent stays among those that are
-    asked for flows, as one that is not listed, so it lists itself anew.
+    Another writer overwrites the agent's entry. The agent is still queried for flows,
+    as an unregistered member, and registers again.
     """
     members = Members()
     members.replace([ORDERS], 3)
--- a/tests/test_shirakaba_store.py
+++ b/tests/test_shirakaba_store.py
@@ -1,4 +1,4 @@
-"""The adapter's calls to the platform's store, against a stand-in of its answers."""
+"""The adapter's calls to the platform's store, against a stand-in of the store."""
 
 import asyncio
 
@@ -54,10 +54,10 @@
 
 
 async def test_a_restart_changes_nothing_in_the_store(store, objects):
-    """Nobody who watches is woken when daemons restart.
+    """A daemon that registers again unchanged ends no watch.
 
-    All VMs come back after a loss of power and list themselves as they were. Each write
-    that changed something would wake every balancer.
+    After a power loss all VMs register as before. If each write changed something, it
+    would wake every balancer.
     """
     await store.put_member(ORDERS)
     revision = objects.revision
@@ -92,10 +92,9 @@
 
 
 async def test_an_odd_entry_hides_no_other(store, objects):
-    """Members are listed and watched while another writer's entry lies beside them.
+    """Members are listed and watched beside another writer's unreadable entry.
 
-    One entry of another type made the whole answer unreadable, so no member came
-    through for as long as it lay in the store.
+    A single entry of another type used to make the whole answer unreadable.
     """
     await store.put_member(ORDERS)
     objects.by_kind["members"]["10.0.0.1"] = {"meta": {"name": 7}, "spec": 3}
@@ -131,9 +130,9 @@
 
 
 async def test_a_write_whose_answer_is_lost_is_of_unknown_outcome(store, objects):
-    """The daemon does not take a lost answer for a refusal, nor for success.
+    """A lost answer counts neither as a rejection nor as a success.
 
-    The store lists the member and answers nothing; the next write meets the object.
+    The store writes the member and answers nothing; the next write finds the object.
     """
     objects.silent = True
     error = (await store.put_member(ORDERS)).unwrap_err()
