--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
@@ -58,7 +58,14 @@
 
 @dataclass
 class Balancer:
-    """State and decisions of one balancer; its sockets are set when it runs."""
+    """State and decisions of one balancer.
+
+    ``owners`` caches the owners of flows, ``openings`` first packets that were placed
+    recently or are held, ``searches`` the running searches for owners.
+    ``newest_version`` is the newest configuration version that a balancer's ping has
+    named, ``newest_peer`` that balancer. ``last_ping_from`` is the time of each
+    balancer's last ping.
+    """
 
     settings: PassthroughBalancerSettings
     codec: PacketCodec
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
@@ -1,4 +1,4 @@
-"""Opens a balancer's sockets; separate, as its decisions need none."""
+"""Opens a balancer's sockets; ``balancer`` itself works on any datagram sockets."""
 
 import random
 import time
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
@@ -20,6 +20,7 @@
 # client retries with a new flow. A further endpoint would be asked only after the
 # client's own retransmission.
 MAX_PLACEMENT_ATTEMPTS = 4
+# Sequence number in the reset of a flow that was never opened.
 UNOPENED_SEQUENCE = 0
 # How late this balancer may learn of a member: the pause between two watches of the
 # member list, a round trip to a slow store, and the first pong.
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/pruning.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/pruning.py
@@ -17,7 +17,7 @@
 
 @dataclass
 class FailureDetector:
-    """Since when each member has been silent, by address; times in seconds."""
+    """The members that are silent now, by address, and since when in seconds."""
 
     silent_since: dict[str, float] = field(default_factory=dict)
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
@@ -39,6 +39,7 @@
 FAST_PING_SECONDS = 0.05
 # Routers remove a balancer after two failed probes, half a second apart.
 ROUTER_REMOVAL_SECONDS = 1.5
+# A stopping balancer exits once no client packet has arrived for this long.
 IDLE_SECONDS = 0.5
 # Part of the grace period that is left for the process to exit.
 STOP_MARGIN_SECONDS = 1.0
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/searches.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/searches.py
@@ -29,10 +29,11 @@
 class Search:
     """The search for one flow's owner.
 
-    ``held_packets`` are packets that arrived after the one sent with the query,
-    ``remaining_homes`` the homes not queried yet, ``queried`` the agents included when
-    all agents were queried, ``denied_by`` those that answered that they don't hold the
-    flow. ``is_queued`` says that all agents are to be queried as soon as the rate limit
+    ``packet`` started the search, and ``acknowledged`` is its acknowledgement number,
+    which a reset of the flow needs. ``held_packets`` are later packets of the flow,
+    ``remaining_homes`` the homes not queried yet. ``queried`` are all agents once they
+    were queried, ``denied_by`` the agents that answered that they don't hold the flow.
+    ``is_queued`` says that all agents are to be queried as soon as the rate limit
     allows.
     """
 
