--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
@@ -15,7 +15,7 @@
 from cornelspan_common.learned import Learned
 from cornelspan_common.logs import get_log, set_level
 from cornelspan_common.tokens import TokenBucket
-from cornelspan_passthrough import hops
+from cornelspan_passthrough import messages
 from cornelspan_passthrough.configuration import RouteTable
 from cornelspan_passthrough.datagrams import DatagramSocket
 from cornelspan_passthrough.first_packets import (
@@ -23,13 +23,6 @@
     place_held_packets,
     retry_placement,
 )
-from cornelspan_passthrough.heads import (
-    SYN,
-    PacketCodec,
-    address_text,
-    client_address,
-    is_address,
-)
 from cornelspan_passthrough.health import AgentHealthTable, Hello, Ping, Pong
 from cornelspan_passthrough.histograms import Histogram
 from cornelspan_passthrough.homes import Homes
@@ -44,12 +37,25 @@
     query_returned_agent,
     reset_if_dead,
 )
+from cornelspan_passthrough.packet_headers import (
+    SYN,
+    PacketCodec,
+    address_text,
+    client_address,
+    is_address,
+)
 from cornelspan_passthrough.placing import ChooseEndpoint, choose_endpoint, takes_flows
 from cornelspan_passthrough.pruning import FailureDetector, is_responsible
 from cornelspan_passthrough.searches import QUERIES_PER_SECOND, Searches
 from cornelspan_passthrough.settings import PassthroughBalancerSettings, socket_address
 
-FLOW_NOTE_KINDS = (hops.REFUSED, hops.NOT_HERE, hops.OWNED, hops.UNKNOWN, hops.MAYBE)
+FLOW_NOTE_KINDS = (
+    messages.REJECTED,
+    messages.NOT_HERE,
+    messages.OWNED,
+    messages.UNKNOWN,
+    messages.MAYBE,
+)
 # Balancers ping each other once per round over the fleet, at most some seconds apart.
 BALANCER_TIMEOUT_SECONDS = 10.0
 
@@ -125,7 +131,7 @@
             return
         owner = self.owners.owner(head.flow)
         if owner:
-            self.send(owner, hops.encode_packet(hops.DELIVER, data))
+            self.send(owner, messages.encode_packet(messages.DELIVER, data))
             return
         find_owner(self, head, data, now)
 
@@ -139,39 +145,39 @@
     def handle_datagram(self, data: bytes, sender: str, now: float) -> None:
         """Handle a datagram of another daemon."""
         kind = data[0] if data else 0
-        if kind == hops.PONG:
+        if kind == messages.PONG:
             self._handle_pong(data, now)
-        elif kind == hops.PING:
+        elif kind == messages.PING:
             self._handle_ping(data, now)
         elif kind in FLOW_NOTE_KINDS:
-            note = hops.decode_note(data)
+            note = messages.decode_flow_message(data)
             if note is None:
                 self.counts["broken_datagrams"] += 1
                 return
             self._handle_note(note, sender, now)
-        elif kind == hops.HELLO:
+        elif kind == messages.HELLO:
             self._handle_hello(data, sender, now)
-        elif kind == hops.GONE:
+        elif kind == messages.GONE:
             self._handle_gone(sender)
         else:
             self.counts["broken_datagrams"] += 1
 
-    def _handle_note(self, note: hops.FlowNote, sender: str, now: float) -> None:
+    def _handle_note(self, note: messages.FlowMessage, sender: str, now: float) -> None:
         """Handle a message about one flow."""
-        if note.kind == hops.OWNED:
+        if note.kind == messages.OWNED:
             owner = address_text(note.agent)
             self.openings.confirm(note.flow, owner)
             handle_owner_found(self, note.flow, owner, now)
-        elif note.kind == hops.UNKNOWN:
+        elif note.kind == messages.UNKNOWN:
             search = self.searches.get(note.flow)
             if search is not None and not search.queried:
                 query_next_home(self, note.flow, search, now)
-        elif note.kind == hops.NOT_HERE:
+        elif note.kind == messages.NOT_HERE:
             handle_owner_denied(self, note.flow, sender, note.packet, now)
-        elif note.kind == hops.MAYBE:
+        elif note.kind == messages.MAYBE:
             search = self.searches.get(note.flow)
             if search is not None:
-                self.send(sender, hops.encode_packet(hops.TRY, search.packet))
+                self.send(sender, messages.encode_packet(messages.TRY, search.packet))
         else:
             retry_placement(self, note, sender, now)
 
@@ -286,7 +292,7 @@
             self.routes.version,
             address in self.members.registered or not self.members.revision,
         )
-        self.send(address, bytes((hops.PING,)) + msgspec.msgpack.encode(ping))
+        self.send(address, bytes((messages.PING,)) + msgspec.msgpack.encode(ping))
 
     def is_ready(self) -> bool:
         """Whether routers may send packets here.
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
@@ -7,7 +7,7 @@
 
 from cornelspan_passthrough.balancer import Balancer
 from cornelspan_passthrough.datagrams import datagram_socket
-from cornelspan_passthrough.heads import PacketCodec
+from cornelspan_passthrough.packet_headers import PacketCodec
 from cornelspan_passthrough.settings import PassthroughBalancerSettings, socket_address
 
 
@@ -28,10 +28,10 @@
         balancer = Balancer(
             settings, codec, client_socket, daemon_socket, random.Random()
         )
-        client_socket.received = lambda data, sender: balancer.handle_client_packet(
+        client_socket.on_datagram = lambda data, sender: balancer.handle_client_packet(
             data, now()
         )
-        daemon_socket.received = lambda data, sender: balancer.handle_datagram(
+        daemon_socket.on_datagram = lambda data, sender: balancer.handle_datagram(
             data, sender[0], now()
         )
         yield balancer
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/configuration.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/configuration.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from cornelspan_common.hashing import flow_key
-from cornelspan_passthrough.heads import route_of
+from cornelspan_passthrough.packet_headers import route_of
 
 HASH_RANGE = 1 << 64
 
@@ -21,7 +21,8 @@
 class Route(msgspec.Struct, frozen=True, array_like=True):
     """Where new flows to one address and port go.
 
-    ``number`` stands for the address and port, see ``heads.route_number``. ``priority``
+    ``number`` stands for the address and port, see ``packet_headers.route_number``.
+    ``priority``
     is 0 for the highest. ``timeout_milliseconds`` is the longest time a request may
     take and ``target_milliseconds`` its target latency. ``idempotent`` says whether a
     request may run again.
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
@@ -4,12 +4,16 @@
 from typing import TYPE_CHECKING
 
 from cornelspan_common.logs import get_log
-from cornelspan_passthrough import hops
+from cornelspan_passthrough import messages
 from cornelspan_passthrough.configuration import Route, services_in_order
-from cornelspan_passthrough.heads import Head, flow_text
 from cornelspan_passthrough.health import AgentHealth
 from cornelspan_passthrough.members import service_tag
-from cornelspan_passthrough.openings import CLIENT_SECONDS, HELD_SECONDS, Opening
+from cornelspan_passthrough.openings import (
+    CLIENT_TIMEOUT_SECONDS,
+    HOLD_TIMEOUT_SECONDS,
+    Opening,
+)
+from cornelspan_passthrough.packet_headers import PacketHeader, flow_text
 from cornelspan_passthrough.placing import REJECTION_COOLDOWN_SECONDS, Candidate
 from cornelspan_passthrough.urgency import MILLISECONDS, Urgency
 
@@ -33,7 +37,7 @@
 
 
 def handle_first_packet(
-    balancer: "Balancer", head: Head, data: bytes, now: float
+    balancer: "Balancer", head: PacketHeader, data: bytes, now: float
 ) -> None:
     """Place a flow by its first packet; a retransmission may be placed anew."""
     if balancer.routes.configuration is None:
@@ -46,7 +50,7 @@
     opening = balancer.openings.get(head.flow, head.sequence, now)
     if opening is None:
         opening = _start_opening(balancer, head, now)
-    elif opening.held:
+    elif opening.held_packet:
         return
     elif opening.confirmed:
         _send_to_agent(balancer, opening, route, head.flow, data, now)
@@ -57,21 +61,21 @@
     _place(balancer, opening, route, head.flow, data, now)
 
 
-def _start_opening(balancer: "Balancer", head: Head, now: float) -> Opening:
+def _start_opening(balancer: "Balancer", head: PacketHeader, now: float) -> Opening:
     """Create the opening; it began when the client sent the first packet first."""
-    began_at = now - balancer.codec.waited_seconds(head)
-    return balancer.openings.start(head.flow, head.sequence, now, began_at)
+    first_sent_at = now - balancer.codec.waited_seconds(head)
+    return balancer.openings.start(head.flow, head.sequence, now, first_sent_at)
 
 
 def _hold_without_configuration(
-    balancer: "Balancer", head: Head, data: bytes, now: float
+    balancer: "Balancer", head: PacketHeader, data: bytes, now: float
 ) -> None:
     """Hold a first packet until there is a configuration to place it by."""
     balancer.counts["opens_without_configuration"] += 1
     opening = balancer.openings.get(head.flow, head.sequence, now)
     if opening is None:
         opening = _start_opening(balancer, head, now)
-    opening.held = data
+    opening.held_packet = data
 
 
 def _place(
@@ -89,16 +93,16 @@
     ms at the earliest.
     """
     if not _has_enough_agents(balancer, route, now):
-        opening.held = data
+        opening.held_packet = data
         return
-    opening.held = b""
-    service, owner = _choose_agent(balancer, route, flow, opening.passed_over, now)
-    opening.is_final = not owner or opening.tries >= MAX_PLACEMENT_ATTEMPTS - 1
+    opening.held_packet = b""
+    service, owner = _choose_agent(balancer, route, flow, opening.excluded_agents, now)
+    opening.is_final = not owner or opening.rejections >= MAX_PLACEMENT_ATTEMPTS - 1
     if not owner:
         # An agent that was only busy or has not answered is better than none.
-        service, owner = _choose_agent(balancer, route, flow, opening.refused, now)
+        service, owner = _choose_agent(balancer, route, flow, opening.rejected_by, now)
     if not owner:
-        refusals = len(opening.refused)
+        refusals = len(opening.rejected_by)
         reason = "rejected by all endpoints" if refusals else "no endpoint"
         _reject(balancer, flow, reason, route=route.name, refusals=refusals)
         return
@@ -112,7 +116,7 @@
             "flow": flow_text(flow),
             "service": service,
             "agent": owner,
-            "refusals": len(opening.refused),
+            "refusals": len(opening.rejected_by),
             "version": balancer.routes.version,
             "running": health.pong.running if health.pong else None,
             "placed": health.placed_flows,
@@ -167,7 +171,7 @@
     packet, above all if this VM was suspended or is not in the routers' rotation. A
     reset would then break an open flow.
     """
-    return now - opening.began_at > CLIENT_SECONDS
+    return now - opening.first_sent_at > CLIENT_TIMEOUT_SECONDS
 
 
 def _have_members_changed(balancer: "Balancer", now: float) -> bool:
@@ -182,13 +186,13 @@
 
 def place_held_packets(balancer: "Balancer", now: float) -> None:
     """Place first packets that are held for an agent or a route, or reject them."""
-    for flow, opening in balancer.openings.held():
-        waited = now - opening.started_at
-        if balancer.routes.configuration is None and waited <= HELD_SECONDS:
+    for flow, opening in balancer.openings.with_held_packet():
+        waited = now - opening.received_at
+        if balancer.routes.configuration is None and waited <= HOLD_TIMEOUT_SECONDS:
             continue
         route = balancer.routes.route(flow)
-        if route is None or waited > HELD_SECONDS:
-            opening.held = b""
+        if route is None or waited > HOLD_TIMEOUT_SECONDS:
+            opening.held_packet = b""
             if balancer.routes.configuration is None or _has_client_timed_out(
                 opening, now
             ):
@@ -196,7 +200,7 @@
             reason = "no agent answers" if route else "no route"
             _reject(balancer, flow, reason, waited_ms=round(waited * 1000))
             continue
-        _place(balancer, opening, route, flow, opening.held, now)
+        _place(balancer, opening, route, flow, opening.held_packet, now)
 
 
 def _choose_agent(
@@ -232,16 +236,16 @@
     """Send a first packet to the chosen agent, ``opening.owner``."""
     tag = service_tag(opening.service)
     homes = [int(IPv4Address(home)) for home in balancer.homes.of(flow)]
-    first, second = (*homes, hops.NOBODY, hops.NOBODY)[:2]
-    waited = round((now - opening.began_at) * MILLISECONDS)
+    first, second = (*homes, messages.NO_ADDRESS, messages.NO_ADDRESS)[:2]
+    waited = round((now - opening.first_sent_at) * MILLISECONDS)
     urgency = Urgency(
         route.priority,
         route.target_milliseconds,
         route.timeout_milliseconds,
         waited,
     )
-    hop = hops.Open(urgency, tag, (first, second), opening.is_final, data)
-    balancer.send(opening.owner, hops.encode_open(hop))
+    hop = messages.OpenMessage(urgency, tag, (first, second), opening.is_final, data)
+    balancer.send(opening.owner, messages.encode_open(hop))
 
 
 def _reject(balancer: "Balancer", flow: int, reason: str, **fields: str | int) -> None:
@@ -253,7 +257,7 @@
 
 
 def retry_placement(
-    balancer: "Balancer", note: hops.FlowNote, sender: str, now: float
+    balancer: "Balancer", note: messages.FlowMessage, sender: str, now: float
 ) -> None:
     """Handle an agent's rejection of a first packet: place it on another one.
 
@@ -267,7 +271,7 @@
         extra={
             "flow": flow_text(note.flow),
             "agent": sender,
-            "reason": hops.REASONS.get(note.detail, "unknown"),
+            "reason": messages.REJECTION_REASONS.get(note.detail, "unknown"),
         },
     )
     balancer.counts["flows_turned_away"] += 1
@@ -275,12 +279,12 @@
     route = balancer.routes.route(note.flow)
     if opening is None or route is None or opening.owner != sender:
         return
-    if note.detail in (hops.ENDPOINT_BUSY, hops.ENDPOINT_PROBED):
-        opening.busy.add(sender)
+    if note.detail in (messages.ENDPOINT_BUSY, messages.ENDPOINT_PROBED):
+        opening.busy_agents.add(sender)
     else:
-        opening.refused.add(sender)
+        opening.rejected_by.add(sender)
     balancer.health.of(sender).cooldown_until = now + REJECTION_COOLDOWN_SECONDS
-    if opening.tries >= MAX_PLACEMENT_ATTEMPTS:
-        _reject(balancer, note.flow, "turned away", refusals=opening.tries)
+    if opening.rejections >= MAX_PLACEMENT_ATTEMPTS:
+        _reject(balancer, note.flow, "turned away", refusals=opening.rejections)
         return
     _place(balancer, opening, route, note.flow, note.packet, now)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
@@ -1,212 +1,236 @@
-"""The flows that an agent's endpoint holds, as the agent sees them go by."""
+"""The flows of an agent's endpoint, tracked from the packets that pass the agent."""
 
 from collections import deque
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cornelspan_passthrough.heads import Head
 from cornelspan_passthrough.histograms import Histogram
-from cornelspan_passthrough.urgency import UNKNOWN, Urgency
+from cornelspan_passthrough.packet_headers import PacketHeader
+from cornelspan_passthrough.urgency import DEFAULT_URGENCY, Urgency
 
 NO_REQUEST = 0.0
-# A request that has run this many times the usual is no longer taken to fill a slot:
-# its client has gone, or the endpoint is grey and will never answer. Counted on, a few
-# of them took up all the room of a one-slot endpoint, and what waited there was dropped
-# unrun five seconds later. Should it still run, the endpoint's own queue has room.
-LOST_REQUEST_PACES = 8.0
+# A request that has run this many times the mean response time no longer counts against
+# the endpoint's slots: its client has gone, or the endpoint fails without closing
+# connections and will never answer. If such requests kept counting, a few of them would
+# use all slots of a one-slot endpoint, and requests queued there would expire five
+# seconds later. If a request does still run, the endpoint's own queue has room for one
+# more.
+LOST_REQUEST_FACTOR = 8.0
 LOST_REQUEST_SECONDS = 0.4
-# Sequence numbers have 32 bits and begin anywhere; what is less than half of them ahead
-# is ahead.
+# Sequence numbers have 32 bits, start anywhere and wrap around. A number is ahead of
+# another if it is less than half the range further on.
 SEQUENCE_MASK = 0xFFFFFFFF
-AHEAD = range(1, 1 << 31)
-# The share of a new measure in the endpoint's pace.
-PACE_SHARE = 0.1
-# With log-normal times of a deviation of 0.5 one request in 140 runs for so much longer
-# than the mean of a sound endpoint.
-OVERDUE_PACES = 3.0
-# An endpoint that gets nothing is tried again after this, as one of usual pace.
-PACE_KEPT_SECONDS = 2.0
+AHEAD_RANGE = range(1, 1 << 31)
+# Weight of a new sample in the moving average of response times.
+RESPONSE_TIME_WEIGHT = 0.1
+# With log-normal response times of standard deviation 0.5, a healthy endpoint takes
+# this many times the mean for one request in 140.
+OVERDUE_FACTOR = 3.0
+# After this time without a sample, the response time is unknown and the endpoint is
+# placed like an average one.
+RESPONSE_TIME_VALID_SECONDS = 2.0
 NEVER = float("-inf")
-# Late packets of a flow that has ended still go to the endpoint, which answers them.
-ENDED_SECONDS = 10.0
-LIMIT = 200_000
-# Starts of flows that are kept to tell how many began of late.
-KEPT_STARTS = 32
+# Late packets of an ended flow are still sent to the endpoint, which answers them.
+ENDED_FLOW_SECONDS = 10.0
+MAX_FLOWS = 200_000
+# Start times kept to count recently started flows.
+MAX_RECENT_STARTS = 32
 
 
-class Doubt(NamedTuple):
-    """A packet of an unknown flow that the endpoint has been handed.
+class UnconfirmedPacket(NamedTuple):
+    """A packet of an unknown flow, sent on in case the endpoint holds the flow.
 
-    ``origin`` is the balancer it came from, ``at`` when. ``is_try`` says that the
-    balancer seeks the owner and keeps the packet.
+    ``balancer`` is the address of the balancer that sent the packet. ``is_try`` is set
+    if that balancer is searching for the owner and has kept the packet.
+    ``forwarded_at`` is when the packet went to the endpoint.
     """
 
-    origin: str
+    balancer: str
     is_try: bool
-    at: float
+    forwarded_at: float
 
 
-NO_DOUBT = Doubt("", False, 0.0)
+NO_UNCONFIRMED_PACKET = UnconfirmedPacket("", False, 0.0)
 
 
 @dataclass(slots=True)
 class OwnedFlow:
-    """One flow.
-
-    ``origin`` is the balancer that its first packet came over and ``homes`` the agents
-    that record the owner. ``urgency`` is what the route said when the flow
-    opened. ``opened`` says that the endpoint surely holds it, as it has sent more
-    than its answer to the first packet. ``acknowledged`` is what the client has
-    acknowledged last. ``request_at`` is when a request began, ``NO_REQUEST`` for none.
-    ``is_learned`` says that the flow opened before this process started, and that no
-    request that this process saw has been answered yet. ``sent_up_to`` is the sequence
-    number up to which the endpoint got data, None before the first. Times are of the
-    loop's clock, in seconds.
+    """A flow that the endpoint holds or has been offered.
+
+    ``balancer`` is the balancer that sent its latest packet, and ``homes`` are the
+    agents that record its owner. ``urgency`` is that of its route when the flow opened.
+    ``accepted`` is set once the endpoint has answered the first packet. ``established``
+    is set once the endpoint has sent anything after that answer, so that it certainly
+    holds the flow. ``ended`` is set once client or endpoint has closed it.
+    ``acknowledged`` is the client's latest acknowledgement number.
+
+    ``request_started_at`` is when the current request was sent, ``NO_REQUEST`` for
+    none. ``sent_up_to`` is the sequence number after the last byte sent to the
+    endpoint, None before any data. ``is_learned`` is set if the flow opened before this
+    process started, until the first answer to a request that this process has sent.
+    Times are of the event loop's clock, in seconds.
     """
 
-    origin: str
+    balancer: str
     homes: tuple[int, int]
     started_at: float
-    used_at: float
-    urgency: Urgency = UNKNOWN
-    answered: bool = False
-    opened: bool = False
+    last_used_at: float
+    urgency: Urgency = DEFAULT_URGENCY
+    accepted: bool = False
+    established: bool = False
     ended: bool = False
     acknowledged: int = 0
-    request_at: float = NO_REQUEST
+    request_started_at: float = NO_REQUEST
     is_learned: bool = False
     sent_up_to: int | None = None
 
 
-def is_repeat(owned: OwnedFlow, sequence: int, length: int) -> bool:
-    """Whether the endpoint has been handed all data of a packet before.
+def is_retransmission(owned: OwnedFlow, sequence: int, length: int) -> bool:
+    """Whether the endpoint has already been sent all data of a packet.
 
-    A client that lost an answer repeats its request. The endpoint only sends its answer
-    again, so the repeat is no work and need not wait.
+    A client that lost an answer retransmits its request. The endpoint only sends its
+    answer again, so the retransmission needs no slot and is not queued.
     """
     if owned.sent_up_to is None:
         return False
-    return (sequence + length - owned.sent_up_to) & SEQUENCE_MASK not in AHEAD
+    return (sequence + length - owned.sent_up_to) & SEQUENCE_MASK not in AHEAD_RANGE
 
 
 @dataclass
 class FlowTable:
-    """Flows by number.
+    """Flows by flow number.
 
-    ``requests`` holds when each flow's request went to the endpoint, in that order.
-    ``open_flows`` counts flows that are open and have not ended: what will send again.
+    ``requests`` maps each flow with a running request to when the request was sent, in
+    that order. ``open_flows`` counts flows that are established and have not ended.
+    ``response_seconds`` is a moving average over requests.
     """
 
     flow_seconds: float
     by_flow: dict[int, OwnedFlow] = field(default_factory=dict)
     requests: dict[int, float] = field(default_factory=dict)
     open_flows: int = 0
-    pace_seconds: float = 0.0
-    paced_at: float = NEVER
-    starts: deque[float] = field(default_factory=lambda: deque(maxlen=KEPT_STARTS))
-    answer_times: Histogram = field(default_factory=Histogram)
+    response_seconds: float = 0.0
+    response_time_updated_at: float = NEVER
+    recent_starts: deque[float] = field(
+        default_factory=lambda: deque(maxlen=MAX_RECENT_STARTS)
+    )
+    response_times: Histogram = field(default_factory=Histogram)
 
     def __len__(self) -> int:
         return len(self.by_flow)
 
     @property
     def running(self) -> int:
-        """How many requests are at the endpoint."""
+        """How many requests are running at the endpoint."""
         return len(self.requests)
 
-    def pace_now(self, now: float) -> float:
-        """Return how long the endpoint takes for a request now, 0.0 if not known.
+    def response_seconds_now(self, now: float) -> float:
+        """Return the endpoint's current response time in seconds, 0.0 if unknown.
 
-        A request that has run for much longer than usual says so before its answer
-        does. Without a request and an answer for some time the endpoint may have
-        become quick or slow unseen.
+        A request that runs much longer than the average raises the value before its
+        answer arrives. The average is discarded after some time without requests and
+        answers, because the endpoint may have become faster or slower meanwhile.
         """
-        began_at = next(iter(self.requests.values()), None)
-        if began_at is not None:
-            overdue = (now - began_at) / OVERDUE_PACES
-            return max(self.pace_seconds, overdue)
-        return self.pace_seconds if now - self.paced_at <= PACE_KEPT_SECONDS else 0.0
+        started_at = next(iter(self.requests.values()), None)
+        if started_at is not None:
+            overdue = (now - started_at) / OVERDUE_FACTOR
+            return max(self.response_seconds, overdue)
+        return (
+            self.response_seconds
+            if now - self.response_time_updated_at <= RESPONSE_TIME_VALID_SECONDS
+            else 0.0
+        )
 
     def get(self, flow: int) -> OwnedFlow | None:
-        """Return a flow, None if it isn't known here."""
+        """Return a flow, None if it is unknown."""
         return self.by_flow.get(flow)
 
     def start(
-        self, flow: int, origin: str, homes: tuple[int, int], now: float
+        self, flow: int, balancer: str, homes: tuple[int, int], now: float
     ) -> OwnedFlow:
-        """Begin a flow in place of any older one of its number."""
+        """Add a flow, replacing any earlier one with the same number."""
         self.remove(flow)
-        if len(self.by_flow) >= LIMIT:
+        if len(self.by_flow) >= MAX_FLOWS:
             self.remove(next(iter(self.by_flow)))
-        owned = OwnedFlow(origin, homes, now, now)
+        owned = OwnedFlow(balancer, homes, now, now)
         self.by_flow[flow] = owned
-        self.starts.append(now)
+        self.recent_starts.append(now)
         return owned
 
-    def opened_since(self, then: float) -> int:
-        """Return how many flows began after a time, as far as kept."""
-        return sum(1 for at in self.starts if at > then)
-
-    def sent(self, flow: int, owned: OwnedFlow, head: Head, now: float) -> None:
-        """Note a packet on its way to the endpoint; new data begins a request."""
-        owned.used_at = now
-        owned.acknowledged = head.acknowledged
-        if not head.length or is_repeat(owned, head.sequence, head.length):
+    def started_since(self, earliest: float) -> int:
+        """Return how many of the latest flows started after a time."""
+        return sum(1 for at in self.recent_starts if at > earliest)
+
+    def record_sent(
+        self, flow: int, owned: OwnedFlow, header: PacketHeader, now: float
+    ) -> None:
+        """Record a packet that goes to the endpoint; new data starts a request."""
+        owned.last_used_at = now
+        owned.acknowledged = header.acknowledged
+        if not header.length or is_retransmission(
+            owned, header.sequence, header.length
+        ):
             return
-        owned.sent_up_to = (head.sequence + head.length) & SEQUENCE_MASK
-        if owned.request_at == NO_REQUEST:
-            owned.request_at = now
+        owned.sent_up_to = (header.sequence + header.length) & SEQUENCE_MASK
+        if owned.request_started_at == NO_REQUEST:
+            owned.request_started_at = now
             self.requests[flow] = now
 
-    def answered(self, flow: int, owned: OwnedFlow, length: int, now: float) -> None:
-        """Note a packet of the endpoint after its first; data answers the request."""
-        owned.used_at = now
-        if not owned.opened:
-            owned.opened = True
+    def record_response(
+        self, flow: int, owned: OwnedFlow, length: int, now: float
+    ) -> None:
+        """Record a packet of the endpoint after its first; data ends the request."""
+        owned.last_used_at = now
+        if not owned.established:
+            owned.established = True
             self.open_flows += 1
         if length:
-            self._end_answered(flow, owned, now)
+            self._complete_request(flow, owned, now)
         elif owned.is_learned:
-            # An acknowledgement without data, on a flow that opened before this process
-            # started: the endpoint has had the request before. Its answer was lost with
-            # that process, and it sends that again by its own clock, up to 1.6 s later.
-            # Nothing runs, so no slot is filled.
+            # An acknowledgement without data on a flow that opened before this process
+            # started: the endpoint had received the request earlier, and its answer was
+            # lost with the previous process. The endpoint retransmits that answer on
+            # its own timer, up to 1.6 s later. Nothing runs meanwhile, so the request
+            # uses no slot.
             self.end_request(flow, owned)
 
-    def _end_answered(self, flow: int, owned: OwnedFlow, now: float) -> None:
-        if owned.request_at == NO_REQUEST:
+    def _complete_request(self, flow: int, owned: OwnedFlow, now: float) -> None:
+        if owned.request_started_at == NO_REQUEST:
             return
-        took = now - owned.request_at
+        duration = now - owned.request_started_at
         owned.is_learned = False
         self.end_request(flow, owned)
-        self.answer_times.observe(took)
-        self.pace_seconds += PACE_SHARE * (took - self.pace_seconds)
-        self.paced_at = now
+        self.response_times.observe(duration)
+        self.response_seconds += RESPONSE_TIME_WEIGHT * (
+            duration - self.response_seconds
+        )
+        self.response_time_updated_at = now
 
     def end(self, flow: int, owned: OwnedFlow) -> None:
-        """Note that one of its ends has closed a flow."""
+        """Record that the client or the endpoint has closed a flow."""
         self.end_request(flow, owned)
-        if owned.opened and not owned.ended:
+        if owned.established and not owned.ended:
             self.open_flows -= 1
         owned.ended = True
 
     def end_request(self, flow: int, owned: OwnedFlow) -> None:
-        """Note that a flow's request no longer runs."""
-        owned.request_at = NO_REQUEST
+        """Record that a flow's request is no longer running."""
+        owned.request_started_at = NO_REQUEST
         self.requests.pop(flow, None)
 
-    def forget_lost_requests(self, now: float) -> int:
-        """Forget requests that have run for so long that they are taken for lost.
+    def drop_lost_requests(self, now: float) -> int:
+        """Stop counting requests that have run so long that no answer is expected.
 
         Returns:
-            How many of them this process has seen begin.
+            How many of them are failures of the endpoint. Requests on learned flows are
+                left out, because they may have run before this process started.
         """
-        usual = LOST_REQUEST_PACES * self.pace_seconds
-        limit = max(LOST_REQUEST_SECONDS, usual)
+        multiple_of_mean = LOST_REQUEST_FACTOR * self.response_seconds
+        limit = max(LOST_REQUEST_SECONDS, multiple_of_mean)
         lost = 0
         while self.requests:
-            flow, began_at = next(iter(self.requests.items()))
-            if now - began_at <= limit:
+            flow, started_at = next(iter(self.requests.items()))
+            if now - started_at <= limit:
                 break
             owned = self.by_flow[flow]
             lost += not owned.is_learned
@@ -214,7 +238,7 @@
         return lost
 
     def remove(self, flow: int) -> OwnedFlow | None:
-        """Forget a flow and return it."""
+        """Remove a flow and return it, None if it is unknown."""
         owned = self.by_flow.pop(flow, None)
         if owned is not None:
             self.end(flow, owned)
@@ -225,8 +249,8 @@
         return list(self.by_flow.items())
 
     def sweep(self, now: float) -> None:
-        """Forget flows that have ended, or are too old to be spoken of."""
+        """Remove flows that have ended or have been idle for too long."""
         for flow, owned in list(self.by_flow.items()):
-            kept = ENDED_SECONDS if owned.ended else self.flow_seconds
-            if now - owned.used_at > kept:
+            retention_seconds = ENDED_FLOW_SECONDS if owned.ended else self.flow_seconds
+            if now - owned.last_used_at > retention_seconds:
                 self.remove(flow)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/owner_search.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/owner_search.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING
 
 from cornelspan_common.logs import get_log
-from cornelspan_passthrough import hops
-from cornelspan_passthrough.heads import RST, SYN, Head, flow_text
+from cornelspan_passthrough import messages
+from cornelspan_passthrough.packet_headers import RST, SYN, PacketHeader, flow_text
 from cornelspan_passthrough.searches import Search
 
 if TYPE_CHECKING:
@@ -18,7 +18,9 @@
 log = get_log(__name__)
 
 
-def find_owner(balancer: "Balancer", head: Head, data: bytes, now: float) -> None:
+def find_owner(
+    balancer: "Balancer", head: PacketHeader, data: bytes, now: float
+) -> None:
     """Start a search for the owner of a packet's flow.
 
     If one is running, the packet is held for it, and agents that have not answered its
@@ -52,7 +54,7 @@
     while search.remaining_homes:
         home = search.remaining_homes.pop(0)
         if balancer.health.is_answering(home):
-            balancer.send(home, hops.encode_packet(hops.FIND, search.packet))
+            balancer.send(home, messages.encode_packet(messages.FIND, search.packet))
             return
     search.is_queued = True
     query_all_agents(balancer, flow, search, now)
@@ -77,7 +79,7 @@
 def _send_queries(balancer: "Balancer", flow: int, agents: Iterable[str]) -> None:
     """Ask agents whether their endpoint holds a flow."""
     for address in agents:
-        balancer.send(address, hops.encode_note(hops.ASK, flow))
+        balancer.send(address, messages.encode_flow_message(messages.ASK, flow))
 
 
 def query_returned_agent(balancer: "Balancer", address: str) -> None:
@@ -100,16 +102,18 @@
     balancer.search_times.observe(now - search.started_at)
     if search.queried:
         _update_homes(balancer, flow, owner)
-        balancer.send(owner, hops.encode_packet(hops.DELIVER, search.packet))
+        balancer.send(owner, messages.encode_packet(messages.DELIVER, search.packet))
     for packet in search.held_packets:
-        balancer.send(owner, hops.encode_packet(hops.DELIVER, packet))
+        balancer.send(owner, messages.encode_packet(messages.DELIVER, packet))
 
 
 def _update_homes(balancer: "Balancer", flow: int, owner: str) -> None:
     """Have the homes record an owner that they did not know."""
     agent = int(IPv4Address(owner))
     for home in balancer.homes.of(flow):
-        balancer.send(home, hops.encode_note(hops.RECORD, flow, agent=agent))
+        balancer.send(
+            home, messages.encode_flow_message(messages.RECORD, flow, agent=agent)
+        )
 
 
 def handle_owner_denied(
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
@@ -8,7 +8,6 @@
 from cornelspan_common.logs import get_log
 from cornelspan_common.tasks import task_group
 from cornelspan_passthrough.balancer import Balancer
-from cornelspan_passthrough.calls import BINARY, NOT_FOUND, Answer, Call, Handler
 from cornelspan_passthrough.fetching import fetch_snapshot
 from cornelspan_passthrough.following import (
     follow_configuration,
@@ -16,8 +15,15 @@
     follow_peers,
     prune,
 )
-from cornelspan_passthrough.greeting import greet
+from cornelspan_passthrough.hello import send_hellos
 from cornelspan_passthrough.http import http_server
+from cornelspan_passthrough.http_messages import (
+    BINARY,
+    NOT_FOUND,
+    Handler,
+    HTTPRequest,
+    HTTPResponse,
+)
 from cornelspan_passthrough.members import BALANCER, Member
 from cornelspan_passthrough.metrics import balancer_metrics
 from cornelspan_passthrough.readers import reading_sockets
@@ -29,7 +35,7 @@
     Backoff,
     OpenStore,
 )
-from cornelspan_passthrough.waking import Suspensions
+from cornelspan_passthrough.suspension import SuspensionDetector
 
 # A search waits 40 ms for a home. With a tick every 20 ms its timeout is noticed at
 # most half as late again.
@@ -44,7 +50,7 @@
 # Part of the grace period that is left for the process to exit.
 STOP_MARGIN_SECONDS = 1.0
 
-ReadinessMatcher = Callable[[Call], bool]
+ReadinessMatcher = Callable[[HTTPRequest], bool]
 
 log = get_log(__name__)
 
@@ -86,7 +92,7 @@
             )
             tasks.start(_ping_members(balancer), name="pings")
             tasks.start(
-                greet(
+                send_hellos(
                     settings,
                     member,
                     balancer.daemon_socket,
@@ -127,22 +133,22 @@
 
 
 def _answer_readiness(
-    balancer: Balancer, call: Call, is_readiness_call: ReadinessMatcher
-) -> Answer:
+    balancer: Balancer, call: HTTPRequest, is_readiness_call: ReadinessMatcher
+) -> HTTPResponse:
     if not is_readiness_call(call):
         return NOT_FOUND
-    return Answer(200 if balancer.is_ready() else 503)
+    return HTTPResponse(200 if balancer.is_ready() else 503)
 
 
-def _answer_peer(balancer: Balancer, call: Call) -> Answer:
+def _answer_peer(balancer: Balancer, call: HTTPRequest) -> HTTPResponse:
     if call.path != SNAPSHOT_PATH:
         return NOT_FOUND
-    return Answer(200, encode_snapshot(balancer), BINARY)
+    return HTTPResponse(200, encode_snapshot(balancer), BINARY)
 
 
 async def _ping_members(balancer: Balancer) -> None:
     """Ping all members once per interval, and agents that are starting more often."""
-    suspensions = Suspensions()
+    suspensions = SuspensionDetector()
     loop_time = asyncio.get_running_loop().time
     while True:
         policy = balancer.settings.pulse
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment.py
@@ -17,7 +17,7 @@
 
 from cornelspan_common.ejection import EjectionPolicy
 from cornelspan_passthrough.configuration import Configuration, Route, Share
-from cornelspan_passthrough.heads import route_number
+from cornelspan_passthrough.packet_headers import route_number
 from cornelspan_standins.experiment_ablations import without
 from cornelspan_standins.experiment_callers import Asked, Callers
 from cornelspan_standins.experiment_ideal import Oracle
@@ -125,7 +125,7 @@
         """Give an agent the plan's policy."""
         policy = self.plan.policy
         agent = self.world.agents[address]
-        agent.waiting.order = ORDERS[policy.order]
+        agent.request_queue.order = ORDERS[policy.order]
         has_line = policy.order != "none"
         agent.queued_requests = policy.queued_requests if has_line else NO_LINE
         if not policy.ejects:
--- a/tests/test_passthrough_dead_flows.py
+++ b/tests/test_passthrough_dead_flows.py
@@ -3,7 +3,7 @@
 import pytest
 
 from cornelspan_common.tokens import TokenBucket
-from cornelspan_passthrough import hops
+from cornelspan_passthrough import messages
 from cornelspan_passthrough.members import Members
 from cornelspan_standins.packet_world import INTERNAL_PORT
 from passthrough_world import BALANCERS, ORDERS, RECEIPTS, owner_of, small_world
@@ -56,7 +56,7 @@
     owner = owner_of(world, client)
     world.lost = lambda source, target, data: owner in (source[0], target[0])
     for agent in world.agents.values():
-        agent.directory.entries.clear()
+        agent.owner_records.entries.clear()
     world.move(client, over=BALANCERS[1])
     client.request()
     world.run(1.0)
@@ -100,7 +100,7 @@
     owner = owner_of(world, client)
     world.remove(owner)
     for agent in world.agents.values():
-        agent.directory.entries.clear()
+        agent.owner_records.entries.clear()
     world.run(3.0)
     world.move(client, over=BALANCERS[1])
     client.request()
@@ -171,7 +171,7 @@
         endpoint.alive = address != crashed
     world.run(0.3)
     assert client.events == ["open", "answer"]
-    world.agents[crashed].endpoint_refuses()
+    world.agents[crashed].mark_endpoint_down()
     world.run(0.1)
     client.request()
     world.run(0.3)
@@ -192,7 +192,7 @@
     restarted.members = Members()
     restarted.members.add_announced(world.members[other])
     restarted.members_changed(world.now)
-    world.agents[other].directory.entries.clear()
+    world.agents[other].owner_records.entries.clear()
     world.move(client, over=BALANCERS[1])
     client.request()
     world.run(0.5)
@@ -214,7 +214,9 @@
         world.endpoints[address].flows.clear()
         world.start_agent(address)
     asked = []
-    world.lost = lambda source, target, data: data[0] == hops.ASK and asked.append(1)
+    world.lost = lambda source, target, data: (
+        data[0] == messages.ASK and asked.append(1)
+    )
     balancer = world.balancers[BALANCERS[1]]
     balancer.query_budget = TokenBucket(rate=100.0, burst=20.0)
     for client in clients:
@@ -239,7 +241,7 @@
         world.start_agent(address)
     gone = RECEIPTS[0]
     world.endpoints[gone].crash()
-    world.agents[gone].endpoint_refuses()
+    world.agents[gone].mark_endpoint_down()
     world.run(0.3)
     world.remove(gone)
     world.run(0.9)
