--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
@@ -49,7 +49,7 @@
 from cornelspan_passthrough.searches import QUERIES_PER_SECOND, Searches
 from cornelspan_passthrough.settings import PassthroughBalancerSettings, socket_address
 
-FLOW_NOTE_KINDS = (
+FLOW_MESSAGE_KINDS = (
     messages.REJECTED,
     messages.NOT_HERE,
     messages.OWNED,
@@ -100,7 +100,7 @@
         self.owners = Learned(self.settings.learned_flows)
         self.search_times = Histogram()
         self.failure_detector = FailureDetector()
-        self.warning_budget = complaint_bucket()
+        self.log_budget = complaint_bucket()
         self.query_budget = TokenBucket(QUERIES_PER_SECOND, QUERIES_PER_SECOND)
         self.health = AgentHealthTable(self.settings.pulse.missed_pings)
         self.client_port = socket_address(self.settings.packets)[1]
@@ -119,21 +119,21 @@
 
     # Packets of clients
 
-    def handle_client_packet(self, data: bytes, now: float) -> None:
+    def receive_from_client(self, data: bytes, now: float) -> None:
         """Handle a client's packet that a router has forwarded to this balancer."""
         self.client_packets += 1
-        head = self.codec.read_client(data)
-        if head is None:
+        header = self.codec.read_client(data)
+        if header is None:
             self.counts["broken_packets"] += 1
             return
-        if head.flags & SYN:
-            handle_first_packet(self, head, data, now)
+        if header.flags & SYN:
+            handle_first_packet(self, header, data, now)
             return
-        owner = self.owners.owner(head.flow)
+        owner = self.owners.owner(header.flow)
         if owner:
             self.send(owner, messages.encode_packet(messages.DELIVER, data))
             return
-        find_owner(self, head, data, now)
+        find_owner(self, header, data, now)
 
     def reset(self, flow: int, sequence: int) -> None:
         """Send a client the packet that resets its flow."""
@@ -142,46 +142,48 @@
 
     # Datagrams of daemons
 
-    def handle_datagram(self, data: bytes, sender: str, now: float) -> None:
+    def receive_from_daemon(self, data: bytes, sender: str, now: float) -> None:
         """Handle a datagram of another daemon."""
         kind = data[0] if data else 0
         if kind == messages.PONG:
-            self._handle_pong(data, now)
+            self._receive_pong(data, now)
         elif kind == messages.PING:
-            self._handle_ping(data, now)
-        elif kind in FLOW_NOTE_KINDS:
-            note = messages.decode_flow_message(data)
-            if note is None:
+            self._receive_ping(data, now)
+        elif kind in FLOW_MESSAGE_KINDS:
+            message = messages.decode_flow_message(data)
+            if message is None:
                 self.counts["broken_datagrams"] += 1
                 return
-            self._handle_note(note, sender, now)
+            self._receive_flow_message(message, sender, now)
         elif kind == messages.HELLO:
-            self._handle_hello(data, sender, now)
+            self._receive_hello(data, sender, now)
         elif kind == messages.GONE:
-            self._handle_gone(sender)
+            self._receive_gone(sender)
         else:
             self.counts["broken_datagrams"] += 1
 
-    def _handle_note(self, note: messages.FlowMessage, sender: str, now: float) -> None:
+    def _receive_flow_message(
+        self, message: messages.FlowMessage, sender: str, now: float
+    ) -> None:
         """Handle a message about one flow."""
-        if note.kind == messages.OWNED:
-            owner = address_text(note.agent)
-            self.openings.confirm(note.flow, owner)
-            handle_owner_found(self, note.flow, owner, now)
-        elif note.kind == messages.UNKNOWN:
-            search = self.searches.get(note.flow)
+        if message.kind == messages.OWNED:
+            owner = address_text(message.agent)
+            self.openings.confirm(message.flow, owner)
+            handle_owner_found(self, message.flow, owner, now)
+        elif message.kind == messages.UNKNOWN:
+            search = self.searches.get(message.flow)
             if search is not None and not search.queried:
-                query_next_home(self, note.flow, search, now)
-        elif note.kind == messages.NOT_HERE:
-            handle_owner_denied(self, note.flow, sender, note.packet, now)
-        elif note.kind == messages.MAYBE:
-            search = self.searches.get(note.flow)
+                query_next_home(self, message.flow, search, now)
+        elif message.kind == messages.NOT_HERE:
+            handle_owner_denied(self, message.flow, sender, message.packet, now)
+        elif message.kind == messages.MAYBE:
+            search = self.searches.get(message.flow)
             if search is not None:
                 self.send(sender, messages.encode_packet(messages.TRY, search.packet))
         else:
-            retry_placement(self, note, sender, now)
+            retry_placement(self, message, sender, now)
 
-    def _handle_pong(self, data: bytes, now: float) -> None:
+    def _receive_pong(self, data: bytes, now: float) -> None:
         """Record an agent's health.
 
         An agent that answers for the first time, or again after a silence, gets held
@@ -207,12 +209,12 @@
             query_returned_agent(self, pong.address)
         if previous is None or previous.state != pong.state:
             extra = {"agent": pong.address, "state": pong.state}
-            log.info("endpoint state changed", extra=extra)
+            log.info("agent state changed", extra=extra)
         member = Member(pong.address, AGENT, pong.datacentre, pong.service)
         if self.members.add_announced(member):
             self.members_changed(now)
 
-    def _handle_ping(self, data: bytes, now: float) -> None:
+    def _receive_ping(self, data: bytes, now: float) -> None:
         """Handle another balancer's ping, which carries the newest version it knows."""
         try:
             ping = msgspec.msgpack.decode(data[1:], type=Ping)
@@ -227,7 +229,7 @@
             member = Member(ping.address, BALANCER, "", "")
             self.members.add_announced(member)
 
-    def _handle_hello(self, data: bytes, sender: str, now: float) -> None:
+    def _receive_hello(self, data: bytes, sender: str, now: float) -> None:
         """Record a daemon that announced itself, and ping it if it is an agent.
 
         A new announcement that comes from the daemon itself is forwarded to the other
@@ -254,7 +256,7 @@
             if balancer.address not in (self.settings.address, sender):
                 self.send(balancer.address, data)
 
-    def _handle_gone(self, sender: str) -> None:
+    def _receive_gone(self, sender: str) -> None:
         """Stop placing flows on an agent that announced its shutdown."""
         health = self.health.of(sender)
         health.unanswered_pings = self.settings.pulse.missed_pings + 1
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
@@ -28,10 +28,10 @@
         balancer = Balancer(
             settings, codec, client_socket, daemon_socket, random.Random()
         )
-        client_socket.on_datagram = lambda data, sender: balancer.handle_client_packet(
+        client_socket.on_datagram = lambda data, sender: balancer.receive_from_client(
             data, now()
         )
-        daemon_socket.on_datagram = lambda data, sender: balancer.handle_datagram(
+        daemon_socket.on_datagram = lambda data, sender: balancer.receive_from_daemon(
             data, sender[0], now()
         )
         yield balancer
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
@@ -37,44 +37,44 @@
 
 
 def handle_first_packet(
-    balancer: "Balancer", head: PacketHeader, data: bytes, now: float
+    balancer: "Balancer", header: PacketHeader, data: bytes, now: float
 ) -> None:
     """Place a flow by its first packet; a retransmission may be placed anew."""
     if balancer.routes.configuration is None:
-        _hold_without_configuration(balancer, head, data, now)
+        _hold_without_configuration(balancer, header, data, now)
         return
-    route = balancer.routes.route(head.flow)
+    route = balancer.routes.route(header.flow)
     if route is None:
-        _reject(balancer, head.flow, "no route")
+        _reject(balancer, header.flow, "no route")
         return
-    opening = balancer.openings.get(head.flow, head.sequence, now)
+    opening = balancer.openings.get(header.flow, header.sequence, now)
     if opening is None:
-        opening = _start_opening(balancer, head, now)
+        opening = _start_opening(balancer, header, now)
     elif opening.held_packet:
         return
     elif opening.confirmed:
-        _send_to_agent(balancer, opening, route, head.flow, data, now)
+        _send_to_agent(balancer, opening, route, header.flow, data, now)
         return
     # A retransmission of a first packet that no endpoint has answered: the endpoint it
     # was sent to may be gone. Another endpoint can open the flow at once, and only the
     # endpoint whose answer the client accepts holds the flow.
-    _place(balancer, opening, route, head.flow, data, now)
+    _place(balancer, opening, route, header.flow, data, now)
 
 
-def _start_opening(balancer: "Balancer", head: PacketHeader, now: float) -> Opening:
+def _start_opening(balancer: "Balancer", header: PacketHeader, now: float) -> Opening:
     """Create the opening; it began when the client sent the first packet first."""
-    first_sent_at = now - balancer.codec.waited_seconds(head)
-    return balancer.openings.start(head.flow, head.sequence, now, first_sent_at)
+    first_sent_at = now - balancer.codec.waited_seconds(header)
+    return balancer.openings.start(header.flow, header.sequence, now, first_sent_at)
 
 
 def _hold_without_configuration(
-    balancer: "Balancer", head: PacketHeader, data: bytes, now: float
+    balancer: "Balancer", header: PacketHeader, data: bytes, now: float
 ) -> None:
     """Hold a first packet until there is a configuration to place it by."""
     balancer.counts["opens_without_configuration"] += 1
-    opening = balancer.openings.get(head.flow, head.sequence, now)
+    opening = balancer.openings.get(header.flow, header.sequence, now)
     if opening is None:
-        opening = _start_opening(balancer, head, now)
+        opening = _start_opening(balancer, header, now)
     opening.held_packet = data
 
 
@@ -244,8 +244,10 @@
         route.timeout_milliseconds,
         waited,
     )
-    hop = messages.OpenMessage(urgency, tag, (first, second), opening.is_final, data)
-    balancer.send(opening.owner, messages.encode_open(hop))
+    message = messages.OpenMessage(
+        urgency, tag, (first, second), opening.is_final, data
+    )
+    balancer.send(opening.owner, messages.encode_open(message))
 
 
 def _reject(balancer: "Balancer", flow: int, reason: str, **fields: str | int) -> None:
@@ -257,34 +259,34 @@
 
 
 def retry_placement(
-    balancer: "Balancer", note: messages.FlowMessage, sender: str, now: float
+    balancer: "Balancer", message: messages.FlowMessage, sender: str, now: float
 ) -> None:
     """Handle an agent's rejection of a first packet: place it on another one.
 
     After ``MAX_PLACEMENT_ATTEMPTS`` rejections the flow is reset.
     """
-    head = balancer.codec.read_client(note.packet)
-    if head is None:
+    header = balancer.codec.read_client(message.packet)
+    if header is None:
         return
     log.info(
         "flow rejected by agent",
         extra={
-            "flow": flow_text(note.flow),
+            "flow": flow_text(message.flow),
             "agent": sender,
-            "reason": messages.REJECTION_REASONS.get(note.detail, "unknown"),
+            "reason": messages.REJECTION_REASONS.get(message.detail, "unknown"),
         },
     )
     balancer.counts["flows_turned_away"] += 1
-    opening = balancer.openings.get(note.flow, head.sequence, now)
-    route = balancer.routes.route(note.flow)
+    opening = balancer.openings.get(message.flow, header.sequence, now)
+    route = balancer.routes.route(message.flow)
     if opening is None or route is None or opening.owner != sender:
         return
-    if note.detail in (messages.ENDPOINT_BUSY, messages.ENDPOINT_PROBED):
+    if message.detail in (messages.ENDPOINT_BUSY, messages.ENDPOINT_PROBED):
         opening.busy_agents.add(sender)
     else:
         opening.rejected_by.add(sender)
     balancer.health.of(sender).cooldown_until = now + REJECTION_COOLDOWN_SECONDS
     if opening.rejections >= MAX_PLACEMENT_ATTEMPTS:
-        _reject(balancer, note.flow, "turned away", refusals=opening.rejections)
+        _reject(balancer, message.flow, "turned away", refusals=opening.rejections)
         return
-    _place(balancer, opening, route, note.flow, note.packet, now)
+    _place(balancer, opening, route, message.flow, message.packet, now)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/following.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/following.py
@@ -132,7 +132,7 @@
     now = asyncio.get_running_loop().time()
     for each in unreadable:
         balancer.counts["unreadable_entries"] += 1
-        if balancer.warning_budget.take(1, now):
+        if balancer.log_budget.take(1, now):
             extra = {"entry": each.name, "reason": each.reason}
             log.warning("unreadable entry", extra=extra)
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/health.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/health.py
@@ -40,8 +40,8 @@
     ``state`` is the endpoint's: ``READY``, ``DRAINING`` or ``DOWN``. ``running`` counts
     requests that the endpoint works on or queues, ``flows`` open flows, ``capacity``
     slots. ``is_ejected`` is set while outlier detection keeps new flows away from it,
-    whatever state it reports. ``service_time_milliseconds`` is its recent time per
-    request, 0 if unknown.
+    whatever state it reports. ``response_milliseconds`` is its recent time per request,
+    0 if unknown.
     """
 
     address: str
@@ -52,7 +52,7 @@
     running: int
     flows: int
     is_ejected: bool = False
-    service_time_milliseconds: int = 0
+    response_milliseconds: int = 0
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/owner_search.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/owner_search.py
@@ -19,28 +19,28 @@
 
 
 def find_owner(
-    balancer: "Balancer", head: PacketHeader, data: bytes, now: float
+    balancer: "Balancer", header: PacketHeader, data: bytes, now: float
 ) -> None:
     """Start a search for the owner of a packet's flow.
 
     If one is running, the packet is held for it, and agents that have not answered its
     query are queried again within the rate limit.
     """
-    search = balancer.searches.get(head.flow)
+    search = balancer.searches.get(header.flow)
     if search is not None:
         search.hold(data)
         unanswered = search.queried - search.denied_by
         if unanswered and balancer.query_budget.take(len(unanswered), now):
-            _send_queries(balancer, head.flow, unanswered)
+            _send_queries(balancer, header.flow, unanswered)
         return
-    if head.flags & RST:
+    if header.flags & RST:
         balancer.counts["strays"] += 1
         return
-    homes = list(balancer.homes.of(head.flow))
-    search = Search(data, head.acknowledged, now, homes)
-    balancer.searches.start(head.flow, search)
+    homes = list(balancer.homes.of(header.flow))
+    search = Search(data, header.acknowledged, now, homes)
+    balancer.searches.start(header.flow, search)
     balancer.counts["searches"] += 1
-    query_next_home(balancer, head.flow, search, now)
+    query_next_home(balancer, header.flow, search, now)
 
 
 def query_next_home(
@@ -141,11 +141,11 @@
     if balancer.owners.owner(flow) != agent:
         return
     balancer.owners.learn(flow, "")
-    head = balancer.codec.read_client(packet)
-    if head is None or head.flags & SYN:
+    header = balancer.codec.read_client(packet)
+    if header is None or header.flags & SYN:
         return
     log.info("flow not at known owner", extra={"flow": flow_text(flow), "agent": agent})
-    search = Search(packet, head.acknowledged, now, [], denied_by={agent})
+    search = Search(packet, header.acknowledged, now, [], denied_by={agent})
     balancer.searches.start(flow, search)
     query_next_home(balancer, flow, search, now)
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/placing.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/placing.py
@@ -17,8 +17,8 @@
 # A flow placed since the endpoint's last pong sends its first request at once.
 PLACED_WEIGHT = 1.0
 DEFAULT_CAPACITY = 1
-# An endpoint counts as slow from this multiple of the median service time on. The mean
-# of ten service times varies by less than half of itself. In ``cornelspan experiment``
+# An endpoint counts as slow from this multiple of the median response time on. The mean
+# of ten response times varies by less than half of itself. In ``cornelspan experiment``
 # (mean of six seeds, a third of the endpoints eight times as slow for 6 of 16 s) 99.6 %
 # of the highest-priority requests are on time, 97.1 % without this.
 SLOW_RATIO = 1.5
@@ -56,7 +56,7 @@
     candidates = [each for each in candidates if takes_flows(each.health)]
     ejected = sum(1 for each in candidates if is_ejected(each.health))
     skips_ejected = ejected <= MAX_EJECTED_SHARE * len(candidates)
-    median = median_service_time(candidates)
+    median = median_response_time(candidates)
     for candidate in candidates:
         health = candidate.health
         is_last_resort = health.cooldown_until > now or (
@@ -84,13 +84,12 @@
     return health.pong is not None and health.pong.is_ejected
 
 
-def median_service_time(candidates: list[Candidate]) -> float:
-    """Return the endpoints' median service time in milliseconds, 0 if none is known."""
+def median_response_time(candidates: list[Candidate]) -> float:
+    """Return the median response time in milliseconds, 0 if none is known."""
     known = sorted(
-        each.health.pong.service_time_milliseconds
+        each.health.pong.response_milliseconds
         for each in candidates
-        if each.health.pong is not None
-        and each.health.pong.service_time_milliseconds > 0
+        if each.health.pong is not None and each.health.pong.response_milliseconds > 0
     )
     return known[(len(known) - 1) // 2] if known else 0
 
@@ -100,8 +99,8 @@
 
     Args:
         health: The endpoint's health.
-        median: Median service time of the service's endpoints in milliseconds, which is
-            the unit of the result; 0 if unknown.
+        median: Median response time of the service's endpoints in milliseconds, the
+            unit of the result; 0 if unknown.
     """
     pong = health.pong
     if pong is None:
@@ -113,14 +112,14 @@
 
 
 def slowdown(pong: Pong, median: float) -> float:
-    """Return an endpoint's service time as a multiple of the median, 1 if not slow.
+    """Return an endpoint's response time as a multiple of the median, 1 if not slow.
 
     Service times vary with the requests an endpoint happened to get, so only one far
     above the median counts as slow; following every difference would place flows by
-    noise. An endpoint in its cold start is weighed by its service time as well.
+    noise. An endpoint in its cold start is weighed by its response time as well.
     Weighing it by the warm-up time that it reports sent flows to busier endpoints and
     improved nothing for callers.
     """
-    if not median or pong.service_time_milliseconds < SLOW_RATIO * median:
+    if not median or pong.response_milliseconds < SLOW_RATIO * median:
         return 1.0
-    return pong.service_time_milliseconds / median
+    return pong.response_milliseconds / median
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
@@ -58,7 +58,7 @@
 async def run_balancer(
     balancer: Balancer,
     open_store: OpenStore,
-    is_readiness_call: ReadinessMatcher,
+    is_readiness_request: ReadinessMatcher,
     signals: ProcessSignals,
 ) -> None:
     """Run a balancer until it is stopped, then until routers send it nothing more.
@@ -105,7 +105,7 @@
                 follow_settings(signals, settings, balancer.apply_settings),
                 name="settings",
             )
-            _serve_http(balancer, is_readiness_call, resources)
+            _serve_http(balancer, is_readiness_request, resources)
             log.info("started", extra={"address": settings.address})
             await signals.stop.wait()
             await _drain(balancer)
@@ -113,35 +113,35 @@
 
 
 def _serve_http(
-    balancer: Balancer, is_readiness_call: ReadinessMatcher, resources: ExitStack
+    balancer: Balancer, is_readiness_request: ReadinessMatcher, resources: ExitStack
 ) -> None:
     """Serve the routers' probes, peers' snapshot calls and metrics."""
     settings = balancer.settings
     handlers: dict[tuple[str, int], Handler] = {
-        socket_address(settings.ready): lambda call: _answer_readiness(
-            balancer, call, is_readiness_call
+        socket_address(settings.ready): lambda request: _answer_readiness(
+            balancer, request, is_readiness_request
         ),
-        (settings.address, settings.internal_port): lambda call: _answer_peer(
-            balancer, call
+        (settings.address, settings.internal_port): lambda request: _answer_peer(
+            balancer, request
         ),
     }
     if settings.metrics_port is not None:
         address = (settings.address, settings.metrics_port)
-        handlers[address] = lambda call: balancer_metrics(balancer)
+        handlers[address] = lambda request: balancer_metrics(balancer)
     for address, handler in handlers.items():
         resources.enter_context(http_server(address, handler))
 
 
 def _answer_readiness(
-    balancer: Balancer, call: HTTPRequest, is_readiness_call: ReadinessMatcher
+    balancer: Balancer, request: HTTPRequest, is_readiness_request: ReadinessMatcher
 ) -> HTTPResponse:
-    if not is_readiness_call(call):
+    if not is_readiness_request(request):
         return NOT_FOUND
     return HTTPResponse(200 if balancer.is_ready() else 503)
 
 
-def _answer_peer(balancer: Balancer, call: HTTPRequest) -> HTTPResponse:
-    if call.path != SNAPSHOT_PATH:
+def _answer_peer(balancer: Balancer, request: HTTPRequest) -> HTTPResponse:
+    if request.path != SNAPSHOT_PATH:
         return NOT_FOUND
     return HTTPResponse(200, encode_snapshot(balancer), BINARY)
 
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_ideal.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_ideal.py
@@ -75,7 +75,7 @@
                     balancer.reset(head.flow, head.acknowledged)
                     return
                 balancer.owners.learn(head.flow, owner)
-            balancer.handle_client_packet(data, self.world.now)
+            balancer.receive_from_client(data, self.world.now)
 
         self.world.handlers[own] = from_client
 
--- a/packages/cornelspan-standins/src/cornelspan_standins/packet_ends.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/packet_ends.py
@@ -10,7 +10,7 @@
 
 from cornelspan_passthrough.packet_headers import flow_number
 from cornelspan_shirakaba import packets
-from cornelspan_shirakaba.packets import HEAD, HEAD_BYTES
+from cornelspan_shirakaba.packets import HEADER, HEADER_BYTES
 
 ROUTE_ADDRESS = 0xC6120001
 REPEAT_SECONDS = (0.2, 0.6)
@@ -46,7 +46,7 @@
 def encode(packet: WirePacket) -> bytes:
     """Return a packet as bytes; the keyed sum stands for its sender's word."""
     return (
-        HEAD.pack(
+        HEADER.pack(
             packet.target_port,
             packet.source,
             packet.target,
@@ -64,8 +64,10 @@
 
 def decode(data: bytes) -> WirePacket:
     """Return the packet that bytes hold."""
-    dport, src, dst, sport, _, echo, _, seq, ack, flags = HEAD.unpack_from(data)
-    return WirePacket(src, sport, dst, dport, flags, seq, ack, data[HEAD_BYTES:], echo)
+    dport, src, dst, sport, _, echo, _, seq, ack, flags = HEADER.unpack_from(data)
+    return WirePacket(
+        src, sport, dst, dport, flags, seq, ack, data[HEADER_BYTES:], echo
+    )
 
 
 def answer_to(packet: WirePacket, flags: int, sequence: int, data: bytes) -> WirePacket:
@@ -252,7 +254,7 @@
     def _bounce(self, data: bytes) -> None:
         self.bounced += 1
         flags = data[packets.FLAGS_OFFSET] | packets.WIRE_BOUNCED
-        self.send(data[: packets.FLAGS_OFFSET] + bytes((flags,)) + data[HEAD_BYTES:])
+        self.send(data[: packets.FLAGS_OFFSET] + bytes((flags,)) + data[HEADER_BYTES:])
 
 
 @dataclass
--- a/packages/cornelspan-standins/src/cornelspan_standins/packet_world.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/packet_world.py
@@ -151,10 +151,10 @@
         balancer = Balancer(settings, CODEC, clients, daemons, chance)
         balancer.routes.replace(self.configuration)
         self.balancers[address] = balancer
-        self.handlers[clients.own] = lambda data, _: balancer.handle_client_packet(
+        self.handlers[clients.own] = lambda data, _: balancer.receive_from_client(
             data, self.now
         )
-        self.handlers[daemons.own] = lambda data, sender: balancer.handle_datagram(
+        self.handlers[daemons.own] = lambda data, sender: balancer.receive_from_daemon(
             data, sender, self.now
         )
         self.routers.add(address)
--- a/tests/test_passthrough_lives.py
+++ b/tests/test_passthrough_lives.py
@@ -5,7 +5,7 @@
 
 from cornelspan_passthrough.http_messages import HTTPRequest
 from cornelspan_passthrough.running_agent import answer_call
-from cornelspan_shirakaba.calls import HEARTBEAT_PATH, LEAVE_PATH, read_call
+from cornelspan_shirakaba.calls import HEARTBEAT_PATH, LEAVE_PATH, decode_call
 from passthrough_world import BALANCERS, ORDERS, owner_of, small_world
 
 STARTED_MILLISECONDS = 1_790_000_000_000
@@ -35,7 +35,7 @@
         "born": born,
     } | more
     call = HTTPRequest("POST", f"{HEARTBEAT_PATH}{name}", msgspec.json.encode(body))
-    return answer_call(world.agents[address], read_call(call), world.now).status
+    return answer_call(world.agents[address], decode_call(call), world.now).status
 
 
 def open_flow_with_owner(world):
@@ -140,7 +140,7 @@
     send_report(world, owner, born=STARTED_MILLISECONDS + 900, sequence=3)
     for body in (b"", msgspec.json.encode({"born": STARTED_MILLISECONDS})):
         call = HTTPRequest("POST", f"{LEAVE_PATH}i-1", body)
-        answer_call(world.agents[owner], read_call(call), world.now)
+        answer_call(world.agents[owner], decode_call(call), world.now)
     world.run(0.1)
     client.request()
     world.run(0.3)
--- a/tests/test_passthrough_placing.py
+++ b/tests/test_passthrough_placing.py
@@ -11,9 +11,9 @@
 BALANCER = "10.1.0.10"
 
 
-def health(state=READY, capacity=2, running=0, flows=0, service_time=0, **more):
+def health(state=READY, capacity=2, running=0, flows=0, response_time=0, **more):
     pong = Pong(
-        "", "hall", "orders", state, capacity, running, flows, False, service_time
+        "", "hall", "orders", state, capacity, running, flows, False, response_time
     )
     return AgentHealth(pong=pong, **more)
 
@@ -44,30 +44,30 @@
 def test_a_slow_endpoint_that_is_idle_takes_less_than_a_busy_sound_one():
     """A flow is not placed where its requests would take eight times as long.
 
-    Measured by its own service time, a slow endpoint has no more queued work than a
+    Measured by its own response time, a slow endpoint has no more queued work than a
     healthy one.
     """
     sound = {
-        "b": health(running=4, service_time=50),
-        "c": health(running=5, service_time=60),
+        "b": health(running=4, response_time=50),
+        "c": health(running=5, response_time=60),
     }
-    assert chosen(a=health(service_time=400), **sound) == "b"
+    assert chosen(a=health(response_time=400), **sound) == "b"
 
 
 def test_paces_that_differ_by_chance_do_not_count():
-    service_times = {
-        "b": health(running=1, service_time=50),
-        "c": health(running=1, service_time=40),
+    response_times = {
+        "b": health(running=1, response_time=50),
+        "c": health(running=1, response_time=40),
     }
-    assert chosen(a=health(service_time=70), **service_times) == "a"
+    assert chosen(a=health(response_time=70), **response_times) == "a"
 
 
 def test_an_endpoint_of_unknown_pace_is_taken_for_a_usual_one():
-    service_times = {
-        "b": health(running=1, service_time=50),
-        "c": health(running=1, service_time=40),
+    response_times = {
+        "b": health(running=1, response_time=50),
+        "c": health(running=1, response_time=40),
     }
-    assert chosen(a=health(service_time=0), **service_times) == "a"
+    assert chosen(a=health(response_time=0), **response_times) == "a"
 
 
 def request(flows, number, at):
@@ -90,7 +90,7 @@
 
 
 def test_an_agent_forgets_the_pace_of_an_endpoint_that_has_had_nothing_to_do():
-    """The service time of an idle endpoint expires, so a slow one is tried again."""
+    """The response time of an idle endpoint expires, so a slow one is tried again."""
     flows = FlowTable(flow_seconds=60)
     owned = request(flows, 1, 10.0)
     flows.record_response(1, owned, 10, 10.4)
--- a/tests/test_shirakaba_records.py
+++ b/tests/test_shirakaba_records.py
@@ -9,7 +9,7 @@
 from cornelspan_passthrough.http_messages import HTTPRequest
 from cornelspan_passthrough.members import Member, Members
 from cornelspan_passthrough.running_agent import InvalidCall, LeaveCall
-from cornelspan_shirakaba.calls import HEARTBEAT_PATH, LEAVE_PATH, read_call
+from cornelspan_shirakaba.calls import HEARTBEAT_PATH, LEAVE_PATH, decode_call
 from cornelspan_shirakaba.packets import CODEC
 from cornelspan_shirakaba.records import (
     decode_changes,
@@ -95,7 +95,7 @@
     would change where flows are placed.
     """
     body = msgspec.json.encode(REPORT | {field: value})
-    call = read_call(HTTPRequest("POST", f"{HEARTBEAT_PATH}i-1", body))
+    call = decode_call(HTTPRequest("POST", f"{HEARTBEAT_PATH}i-1", body))
     assert isinstance(call, InvalidCall)
     assert call.reason
 
@@ -107,18 +107,18 @@
 
 
 def test_a_word_to_go_names_its_life():
-    assert read_call(HTTPRequest("POST", f"{LEAVE_PATH}i-1", b"")) == LeaveCall(
+    assert decode_call(HTTPRequest("POST", f"{LEAVE_PATH}i-1", b"")) == LeaveCall(
         Incarnation("i-1")
     )
-    assert read_call(HTTPRequest("POST", f"{LEAVE_PATH}i-1", b"{}")) == LeaveCall(
+    assert decode_call(HTTPRequest("POST", f"{LEAVE_PATH}i-1", b"{}")) == LeaveCall(
         Incarnation("i-1")
     )
     body = msgspec.json.encode({"born": 7})
-    assert read_call(HTTPRequest("POST", f"{LEAVE_PATH}i-1", body)) == LeaveCall(
+    assert decode_call(HTTPRequest("POST", f"{LEAVE_PATH}i-1", body)) == LeaveCall(
         Incarnation("i-1", 7)
     )
     assert isinstance(
-        read_call(HTTPRequest("POST", f"{LEAVE_PATH}i-1", b"[")), InvalidCall
+        decode_call(HTTPRequest("POST", f"{LEAVE_PATH}i-1", b"[")), InvalidCall
     )
 
 
