--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -1,4 +1,9 @@
-"""The agent daemon: beside one endpoint, owner of the flows that run there."""
+"""The agent daemon: runs beside one endpoint and owns the flows placed there.
+
+The fabrics are network elements in front of the platform. They terminate the clients'
+TCP connections and send the packets of their flows to balancers. An agent sends the
+packets of its answers directly to the fabric of the flow.
+"""
 
 import asyncio
 import dataclasses
@@ -31,9 +36,9 @@
 
 DEFAULT_PROFILE = Profile(name="default")
 
-LEAVE_STEP_SECONDS = 0.05
+LEAVE_POLL_SECONDS = 0.05
 FABRIC_GONE_SECONDS = 5.0
-RETIRE_SECONDS = 0.2
+RETIRE_FLUSH_SECONDS = 0.2
 
 log = get_log(__name__)
 
@@ -83,11 +88,11 @@
 
     @property
     def profile(self) -> Profile:
-        """The profile that the service runs under here and now."""
+        """The profile of the service; default values until one is known."""
         return self.configuration.profile_of(self.settings.service) or DEFAULT_PROFILE
 
     def announcement(self) -> Announce:
-        """What this agent says of itself."""
+        """Return the announcement of this agent as a member."""
         settings = self.settings
         return Announce(
             name=settings.name,
@@ -103,13 +108,13 @@
         )
 
     def transmit(self, packet: Packet) -> None:
-        """Send a packet straight to the fabric that its flow came from."""
+        """Send a packet directly to the fabric that its flow came from."""
         peer = self.fabrics.get(packet.fabric)
         if peer is not None:
             peer.send(packet)
 
     async def serve_fabric(self, peer: Peer) -> None:
-        """Hold the stream to one fabric; nothing comes back on it."""
+        """Keep the stream to one fabric, and count all that it sends as refused."""
         async for batch in batches(peer):
             peer.refused += len(batch)
 
@@ -128,36 +133,36 @@
                         self._receive(peer, message)
         finally:
             router.parted(peer)
-            self.gateway.lost(peer.name)
+            self.gateway.peer_lost(peer.name)
 
     def _receive(self, peer: Peer, message: Message) -> None:
-        """Take in a message that is not of the flow layer."""
+        """Process a message that is not about flows."""
         if isinstance(message, Gone):
-            # Another agent has left in order; only its own word counts here.
+            # Another agent has left. Only a message of its own counts here.
             if message.name == peer.name:
                 self.members.remove(message.name, message.incarnation)
             return
         self.gateway.receive(peer.name, message)
 
     def load(self) -> OwnLoad:
-        """Return the load of the endpoint; without slots while it takes nothing."""
+        """Return the load of the endpoint; with no slots if it accepts no requests."""
         if self.profile.kind != "http":
             return self.router.flow_load()
-        measured = self.gateway.own_load()
-        if measured is None:
+        http_load = self.gateway.own_load()
+        if http_load is None:
             return OwnLoad(0, 0)
-        waiting = measured.waiting + self.router.silent_flows()
-        return dataclasses.replace(measured, waiting=waiting)
+        waiting = http_load.waiting + self.router.silent_flows()
+        return dataclasses.replace(http_load, waiting=waiting)
 
     def renew(self, incarnation: int) -> None:
-        """Begin a new life, since others took the present one for ended."""
+        """Continue under a new incarnation, as others detected this one as failed."""
         self.router.renew(incarnation)
         self.hello = msgspec.structs.replace(self.hello, incarnation=incarnation)
         for holder in (self.fabrics, self.agents, self.server):
             holder.hello = self.hello
         self.router.renew(incarnation)
 
-    def link_peers(self) -> None:
+    def connect_peers(self) -> None:
         """Keep a stream to each other agent of the service."""
         peers = self.members.of_service(self.settings.service)
         others = [peer for peer in peers if peer.name != self.settings.name]
@@ -166,7 +171,7 @@
         self.agents.keep_only({other.name for other in others})
 
     async def leave(self) -> None:
-        """Stop in order: take nothing new, tell all, let the running flows finish."""
+        """Shut down: accept no new flows, announce it, and drain the running ones."""
         self.router.leaving = True
         self.leaving = True
         self.gateway.leave()
@@ -174,40 +179,40 @@
         deadline = time.monotonic() + self.profile.drain_seconds
         await self._wait_for_flows(deadline)
         await self.gateway.drain(max(0.0, deadline - time.monotonic()))
-        await self._hand_over()
-        report_last(self.gateway.objectives, self.settings, self.control.plane)
+        await self._hand_over_flows()
+        report_last(self.gateway.objective_counts, self.settings, self.control.plane)
         self.control.leave()
-        log.info("agent left", extra={"flows": len(self.flows.owned)})
+        log.info("agent stopped", extra={"flows": len(self.flows.owned)})
 
     async def _wait_for_flows(self, deadline: float) -> None:
-        """Wait until the flows have ended, or nobody is left to carry them.
+        """Wait until the flows have ended, or no fabric is connected any more.
 
-        When a whole site stops, the fabric may go first. Its flows can't end in order
-        any more, and waiting for them held the stop up for all of ``drain_seconds``.
+        When a whole site stops, the fabric may stop first. Its flows can't finish then,
+        and waiting for them delayed the shutdown by all of ``drain_seconds``.
         """
-        heard_at = time.monotonic()
+        connected_at = time.monotonic()
         while self.flows.owned and time.monotonic() < deadline:
             if self.fabrics.open:
-                heard_at = time.monotonic()
-            if time.monotonic() - heard_at > FABRIC_GONE_SECONDS:
+                connected_at = time.monotonic()
+            if time.monotonic() - connected_at > FABRIC_GONE_SECONDS:
                 return
-            await asyncio.sleep(LEAVE_STEP_SECONDS)
+            await asyncio.sleep(LEAVE_POLL_SECONDS)
 
-    async def _hand_over(self) -> None:
-        """Give what is known of others' flows to their next homes, then say good-bye.
+    async def _hand_over_flows(self) -> None:
+        """Send the records of other agents' flows to their next homes, then ``Gone``.
 
-        This comes last, when no packet of a flow owned here is on its way any more. The
-        others then need not wait until they suspect this agent.
+        This is the last step, when no packets of flows owned here are in flight. After
+        ``Gone`` the others don't have to wait for failure detection.
         """
         self.router.retire()
-        await asyncio.sleep(RETIRE_SECONDS)
+        await asyncio.sleep(RETIRE_FLUSH_SECONDS)
         gone = Gone(self.settings.name, self.hello.incarnation)
         for peer in self.agents.open.values():
             peer.send(gone)
             peer.flush()
 
     def register(self, metrics: Metrics) -> None:
-        """Offer what is counted here as metrics."""
+        """Register the metrics of this agent."""
         self.gateway.register(metrics)
         flows = self.flows.counts
         routing = self.router.counts
@@ -226,7 +231,7 @@
         metrics.count("packets_unknown", "Of unknown flows", lambda: routing.unknown)
 
     async def serve_flow(self, channel: Channel) -> None:
-        """Carry one flow to the backend server, as its service's profile says."""
+        """Serve one flow as the kind of its service's profile requires."""
         if self.profile.kind == "http":
             await serve_http(channel, self.gateway)
         else:
@@ -241,20 +246,21 @@
     *,
     tls: Tls = PLAIN,
 ) -> AsyncIterator[Agent]:
-    """Run an agent as long as the context lasts.
+    """Run an agent until the context ends.
 
     Args:
         settings: The agent's settings.
-        configuration: What is in force; kept current here.
-        members: The members known; kept current here.
-        tls: Contexts of streams and store; off by default, and for fabrics always.
+        configuration: The configuration in force; the agent keeps it up to date.
+        members: The known members; the agent keeps them up to date.
+        tls: TLS contexts for streams and the platform's store; none by default.
+            Streams to fabrics never use TLS.
     """
     async with task_group() as tasks:
-        state = Agent(settings, configuration, members, tasks, tls)
+        running_agent = Agent(settings, configuration, members, tasks, tls)
         peers = Peers(
-            send=state.router.send,
-            names=state.router.reachable,
-            loads=state.router.ownership.loads,
+            send=running_agent.router.send,
+            names=running_agent.router.reachable,
+            loads=running_agent.router.ownership.loads,
         )
         async with (
             gateway(
@@ -262,36 +268,37 @@
                 configuration,
                 members,
                 peers,
-                incarnation=state.hello.incarnation,
-            ) as state.gateway,
+                incarnation=running_agent.hello.incarnation,
+            ) as running_agent.gateway,
             control_plane(
                 settings,
                 configuration,
                 members,
-                hello=state.hello,
-                announcement=state.announcement,
-                renew=state.renew,
-                on_members=state.link_peers,
+                hello=running_agent.hello,
+                announcement=running_agent.announcement,
+                on_new_incarnation=running_agent.renew,
+                on_members=running_agent.connect_peers,
                 tls=tls.client,
-            ) as state.control,
+            ) as running_agent.control,
             serve_peers(
                 settings.listen,
-                state.hello,
+                running_agent.hello,
                 settings.streams,
-                state.serve_packets,
+                running_agent.serve_packets,
                 tls=tls.server,
-            ) as state.server,
+            ) as running_agent.server,
         ):
             for address in settings.fabrics:
-                state.fabrics.want(str(address), address)
+                running_agent.fabrics.want(str(address), address)
             tasks.start(
-                state.flows.sweep(lambda: state.profile.idle_seconds), name="sweep"
+                running_agent.flows.sweep(lambda: running_agent.profile.idle_seconds),
+                name="sweep",
             )
-            members.announce(state.announcement())
-            tasks.start(state.router.watch(), name="watch peers")
-            counts = state.gateway.objectives
-            reporting = report_counts(counts, settings, state.control.plane)
+            members.announce(running_agent.announcement())
+            tasks.start(running_agent.router.watch(), name="watch peers")
+            counts = running_agent.gateway.objective_counts
+            reporting = report_counts(counts, settings, running_agent.control.plane)
             tasks.start(reporting, name="report counts")
             tasks.start(reload_tls(tls), name="reload TLS files")
             log.info("agent started", extra={"agent": settings.name})
-            yield state
+            yield running_agent
--- a/packages/cornelspan-requests/src/cornelspan_requests/backend.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/backend.py
@@ -1,8 +1,8 @@
-"""Calls to the backend server beside the agent, over loopback.
+"""Calls to the agent's backend server over loopback.
 
-Each call has a connection of its own. On a kept one the server may close while the
-request is being written, and nobody could tell whether it ran; a fresh connection on
-loopback costs about 0.1 ms, and cancelling a call is closing its connection.
+Each call opens a new connection. A server may close a kept-alive connection while the
+next request is being written, and then it is unknown whether the request ran. A new
+connection over loopback costs about 0.1 ms, and closing it cancels the call.
 """
 
 import asyncio
@@ -21,40 +21,48 @@
 from tornado.tcpclient import TCPClient
 
 from cornelspan_common.settings import Address
-from cornelspan_requests.exchange import Request, end_to_end
+from cornelspan_requests.exchange import Request, end_to_end_headers
 from cornelspan_requests.outcomes import (
     DEADLINE_HEADER,
     NOT_RUN_HEADER,
     OUTCOME_HEADER,
     AnswerHead,
-    Outcome,
+    Failure,
     Reason,
-    Refusal,
+    RequestOutcome,
 )
 
-SHED_STATUS = 503
-BODYLESS = (204, 304)
+REJECTED_STATUS = 503
+BODYLESS_STATUSES = (204, 304)
 
 
 class AnswerSink(Protocol):
-    """Where an answer goes as it comes."""
+    """Receives an answer in parts."""
 
     async def start(self, head: AnswerHead) -> bool:
-        """Take status and headers; False if nobody waits for them any more."""
+        """Process status and headers; False if the caller is gone."""
 
     async def write(self, chunk: bytes) -> bool:
-        """Take a part of the body; returns when there is room for more."""
+        """Process a part of the body, and return once more can be accepted.
+
+        Returns:
+            False if the caller is gone.
+        """
 
 
 @dataclass
-class _Reading(HTTPMessageDelegate):
-    """Passes an answer on to its sink, and notes how far it came."""
+class _ResponseReader(HTTPMessageDelegate):
+    """Passes an answer on to its sink, and records how much of it arrived.
+
+    ``server_rejected`` is set if the server rejected the request without running it,
+    and ``unframed`` if the end of the answer can't be told from a broken connection.
+    """
 
     sink: AnswerSink
     head_request: bool
     begun: bool = False
-    whole: bool = False
-    shed: bool = False
+    complete: bool = False
+    server_rejected: bool = False
     unframed: bool = False
     caller_gone: bool = False
     status: int = 0
@@ -63,19 +71,23 @@
     async def headers_received(
         self, start_line: ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Pass the head on, unless the server says that it did not run the request."""
+        """Pass the head on, unless the server rejected the request."""
         if start_line.code < 200:
             return
         self.status = start_line.code
-        self.shed = is_shed(start_line.code, headers)
-        self.unframed = not self.head_request and not _framed(start_line.code, headers)
-        if self.shed:
-            self.retry_after = _seconds(headers.get("Retry-After", ""))
+        self.server_rejected = is_rejected(start_line.code, headers)
+        self.unframed = not self.head_request and not _is_framed(
+            start_line.code, headers
+        )
+        if self.server_rejected:
+            self.retry_after = _parse_seconds(headers.get("Retry-After", ""))
             return
         if self.unframed:
             return
-        headers[OUTCOME_HEADER] = Outcome.RAN.value
-        head = AnswerHead(start_line.code, start_line.reason, end_to_end(headers))
+        headers[OUTCOME_HEADER] = RequestOutcome.RAN.value
+        head = AnswerHead(
+            start_line.code, start_line.reason, end_to_end_headers(headers)
+        )
         self.begun = True
         self.caller_gone = not await self.sink.start(head)
 
@@ -85,82 +97,87 @@
             self.caller_gone = not await self.sink.write(chunk)
 
     def finish(self) -> None:
-        """Note that the answer is whole."""
-        self.whole = self.status >= 200
+        """Note that the answer is complete."""
+        self.complete = self.status >= 200
 
     def on_connection_close(self) -> None:
-        """Leave the answer as broken as it is."""
+        """Do nothing: the answer stays incomplete."""
 
 
-def is_shed(status: int, headers: HTTPHeaders) -> bool:
-    """Whether a server's answer says that it turned the request away unrun."""
-    return status == SHED_STATUS and headers.get(NOT_RUN_HEADER, "").strip() == "1"
+def is_rejected(status: int, headers: HTTPHeaders) -> bool:
+    """Whether an answer says that the server did not run the request."""
+    return status == REJECTED_STATUS and headers.get(NOT_RUN_HEADER, "").strip() == "1"
 
 
 async def call(
     request: Request, server: Address, sink: AnswerSink, *, answer_bytes: int
-) -> Result[int, Refusal]:
+) -> Result[int, Failure]:
     """Run a request at the backend server and pass the answer to a sink.
 
     Args:
-        request: What to run.
-        server: Where the backend server listens.
-        sink: Gets the answer as it comes.
-        answer_bytes: Limit of the answer's body.
+        request: The request.
+        server: The address of the backend server.
+        sink: Gets the answer as it arrives.
+        answer_bytes: Largest size of the answer's body, in bytes.
 
     Returns:
-        The status of an answer that was passed on whole, or why there is none and
+        The status once the whole answer was passed on. Otherwise why it was not, and
         whether the request may have run.
     """
     loop = asyncio.get_running_loop()
     remaining = request.deadline - loop.time()
     if remaining <= 0:
-        return Err(Refusal(Outcome.NOT_RUN, Reason.DEADLINE))
+        return Err(Failure(RequestOutcome.NOT_RUN, Reason.DEADLINE))
     try:
         stream = await asyncio.wait_for(
             TCPClient().connect(server.host, server.port), remaining
         )
     except (OSError, StreamClosedError, TimeoutError):
-        return Err(Refusal(Outcome.NOT_RUN, Reason.REFUSED))
+        # No byte was sent, so the request has not run. ``REFUSED`` stands for every
+        # failure to connect, a timeout too, so that the request may be retried.
+        return Err(Failure(RequestOutcome.NOT_RUN, Reason.REFUSED))
     try:
         async with asyncio.timeout_at(request.deadline):
-            return await _exchange(stream, request, sink, answer_bytes)
+            return await _send_and_read(stream, request, sink, answer_bytes)
     except TimeoutError:
-        return Err(Refusal(Outcome.UNKNOWN, Reason.DEADLINE))
+        return Err(Failure(RequestOutcome.UNKNOWN, Reason.DEADLINE))
     finally:
-        # Closing is also how the server learns that a request is cancelled.
+        # Closing the connection also tells the server that the request is cancelled.
         stream.close()
 
 
-async def _exchange(
+async def _send_and_read(
     stream: IOStream, request: Request, sink: AnswerSink, answer_bytes: int
-) -> Result[int, Refusal]:
+) -> Result[int, Failure]:
+    """Send a request over a new connection and read its answer."""
     parameters = HTTP1ConnectionParameters(
         no_keep_alive=True, max_body_size=answer_bytes
     )
     stream.set_nodelay(True)
     connection = HTTP1Connection(stream, True, parameters)
-    reading = _Reading(sink, request.method == "HEAD")
+    reader = _ResponseReader(sink, request.method == "HEAD")
     line = RequestStartLine(request.method, request.target, "HTTP/1.1")
     headers = _request_headers(request)
     try:
         await connection.write_headers(line, headers, request.body or None)
         connection.finish()
-        await connection.read_response(reading)
+        await connection.read_response(reader)
     except StreamClosedError:
+        # The fields of the reader tell how much of the answer arrived.
         pass
-    if reading.caller_gone:
-        return Err(Refusal(Outcome.UNKNOWN, Reason.CANCELLED))
-    if reading.shed:
-        refusal = Refusal(Outcome.NOT_RUN, Reason.SHED, reading.retry_after)
-        return Err(refusal)
-    if not reading.whole or reading.unframed:
-        return Err(Refusal(Outcome.UNKNOWN, Reason.BROKEN))
-    return Ok(reading.status)
+    # The reader stops passing an answer on once the caller is gone, and reads the rest.
+    if reader.caller_gone:
+        return Err(Failure(RequestOutcome.UNKNOWN, Reason.CANCELLED))
+    if reader.server_rejected:
+        failure = Failure(RequestOutcome.NOT_RUN, Reason.SHED, reader.retry_after)
+        return Err(failure)
+    if not reader.complete or reader.unframed:
+        return Err(Failure(RequestOutcome.UNKNOWN, Reason.BROKEN))
+    return Ok(reader.status)
 
 
 def _request_headers(request: Request) -> HTTPHeaders:
-    """Return the headers for the server; the deadline is what is left, in ms."""
+    """Return the headers for the server, with the milliseconds left as deadline."""
     headers = HTTPHeaders()
     for name, value in request.headers:
         headers.add(name, value)
@@ -172,14 +189,15 @@
     return headers
 
 
-def _framed(status: int, headers: HTTPHeaders) -> bool:
+def _is_framed(status: int, headers: HTTPHeaders) -> bool:
     """Whether an answer's end can be told from a broken connection."""
     return (
-        status in BODYLESS
+        status in BODYLESS_STATUSES
         or "Content-Length" in headers
         or "chunked" in headers.get("Transfer-Encoding", "").lower()
     )
 
 
-def _seconds(text: str) -> float:
+def _parse_seconds(text: str) -> float:
+    """Return the seconds of a ``Retry-After`` header, zero if none."""
     return float(text) if text.isdigit() else 0.0
--- a/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
@@ -1,8 +1,9 @@
-"""Where a request runs: here, or at another agent of the service, and what is retried.
+"""Choice of the endpoint that runs a request, and retries at other endpoints.
 
-A request moves on only when it surely did not run, or may run twice by its method. What
-an agent turned away itself is moved without a retry's price; what reached a backend
-server is retried within the budget and after a pause.
+A request is sent to another endpoint only if it certainly did not run, or if its method
+is idempotent. A request that an agent rejected is sent on at once and doesn't count as
+a retry. A request that may have reached a backend server is retried after a backoff,
+within the retry budget.
 """
 
 import asyncio
@@ -23,30 +24,35 @@
     PeerLoad,
     choose,
 )
-from cornelspan_requests.admission import LEAST_RETRY_AFTER
+from cornelspan_requests.admission import MIN_RETRY_AFTER_SECONDS
 from cornelspan_requests.backend import AnswerSink
 from cornelspan_requests.endpoint import Endpoint
 from cornelspan_requests.exchange import Request
 from cornelspan_requests.handoff import Handoffs
-from cornelspan_requests.outcomes import Outcome, Reason, Refusal
-from cornelspan_requests.retries import Draw, RetryBudget, is_repeatable, pause_before
-
-MOST_MOVES = 2
-UNSEEN_SECONDS = 0.01
-MEASURE_SECONDS = 10.0
-HERE = ""
-TURNED_AWAY = frozenset(
+from cornelspan_requests.outcomes import Failure, Reason, RequestOutcome
+from cornelspan_requests.retries import (
+    RandomFraction,
+    RetryBudget,
+    backoff_pause,
+    is_repeatable,
+)
+
+MAX_MOVES = 2
+PENDING_LOAD_SECONDS = 0.01
+MEAN_VALID_SECONDS = 10.0
+LOCAL = ""
+REJECTED_REASONS = frozenset(
     {Reason.QUEUE_FULL, Reason.DEADLINE, Reason.EJECTED, Reason.DRAINING}
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Peers:
-    """The other agents of the service, as the flow layer reaches them.
+    """The other agents of the service.
 
-    ``send`` gives a message to an agent by name, and returns False if there is no
-    stream to it. ``names`` are the agents that can be reached, ``loads`` what they told
-    last.
+    ``send`` sends a message to an agent by name, and returns False if there is no
+    stream to it. ``names`` returns the agents that have a stream. ``loads`` are the
+    loads that they reported last.
     """
 
     send: Callable[[str, Message], bool] = lambda name, message: False
@@ -54,17 +60,17 @@
     loads: Loads = field(default_factory=Loads)
 
 
-def best_place(
+def choose_destination(
     own: OwnLoad | None, loads: Loads, names: list[str], tried: set[str], queue: int
 ) -> str | None:
-    """Return where to run a request: an agent's name, ``HERE``, or None for nowhere.
+    """Return where to run a request: an agent's name, ``LOCAL``, or None for nowhere.
 
     Args:
-        own: This endpoint's load; None if it takes nothing new.
-        loads: What the peers told last.
+        own: This endpoint's load; None if it accepts no new requests.
+        loads: The loads that the peers reported last.
         names: The peers that can be reached.
-        tried: Places that have turned the request away.
-        queue: Bound of each endpoint's queue; the service's profile sets it for all.
+        tried: Destinations at which the request has failed already.
+        queue: Largest length of an endpoint's queue, the same for the whole service.
     """
     untried = [
         name
@@ -73,64 +79,73 @@
         and name in loads.peers
         and loads.peers[name].load.waiting < max(1, queue)
     ]
-    ordered = choose(None if HERE in tried else own, loads, untried)
+    ordered = choose(None if LOCAL in tried else own, loads, untried)
     return ordered[0] if ordered else None
 
 
-def urgent_view(own: OwnLoad | None, loads: Loads) -> tuple[OwnLoad | None, Loads]:
-    """Return the loads as a request sees them whose priority was not lowered.
+def urgent_loads(own: OwnLoad | None, loads: Loads) -> tuple[OwnLoad | None, Loads]:
+    """Return the loads that count for a request of the service's own priority.
 
-    It goes before all lowered ones that wait, so they are no load to it. Counted, they
-    would send it to an endpoint with a short queue of its own kind.
+    Such a request is served before all waiting requests whose callers asked for a lower
+    priority, so only ``urgent`` requests count as waiting. If all were counted, it
+    could be sent to an endpoint with a shorter queue but more urgent requests in it.
     """
     if own is not None:
         own = replace(own, waiting=own.urgent)
-    peers = {name: _urgent(peer) for name, peer in loads.peers.items()}
+    peers = {name: _urgent_load(peer) for name, peer in loads.peers.items()}
     return own, Loads(peers)
 
 
-def _urgent(peer: PeerLoad) -> PeerLoad:
+def _urgent_load(peer: PeerLoad) -> PeerLoad:
+    """Return the load of a peer with only its urgent requests as waiting."""
     load = structs.replace(peer.load, waiting=peer.load.urgent)
     return PeerLoad(load, peer.unanswered)
 
 
 class TrackedSink(AnswerSink, Protocol):
-    """A sink that knows whether its caller has begun to get an answer."""
+    """A sink that tells whether any part of an answer has been sent to the caller."""
 
     begun: bool
 
 
 @dataclass
 class DispatchCounts:
-    """Requests by where they went."""
+    """Requests run at the own endpoint, handed off, and retried.
+
+    ``out_of_budget`` counts retries that the budget did not allow.
+    """
 
-    here: int = 0
+    local: int = 0
     moved: int = 0
     retried: int = 0
     out_of_budget: int = 0
 
 
 @dataclass
-class Dispatch:
-    """What decides on the place of each request of one agent."""
+class Dispatcher:
+    """Chooses the destination of each request of one agent, and retries it.
+
+    ``leaving`` is set while the agent shuts down. ``sample_count`` and ``sampled_at``
+    tell when the endpoint's service times last changed.
+    """
 
     endpoint: Endpoint
     handoffs: Handoffs
     peers: Peers
-    draw: Draw
+    random_fraction: RandomFraction
     leaving: bool = False
     budget: RetryBudget = field(default_factory=RetryBudget)
     counts: DispatchCounts = field(default_factory=DispatchCounts)
-    measured: int = 0
-    measured_at: float = 0.0
+    sample_count: int = 0
+    sampled_at: float = 0.0
 
     def __post_init__(self) -> None:
         self.loop = asyncio.get_running_loop()
 
     def own_load(self, profile: Profile) -> OwnLoad | None:
-        """Return this endpoint's load, None if it takes nothing new.
+        """Return this endpoint's load, None if it accepts no new requests.
 
-        While it warms up it seems slower than it is, so that others are preferred.
+        During slow start its mean service time is raised, so that others are preferred.
         """
         standing = self.endpoint.standing()
         if self.leaving or standing is Standing.OUT:
@@ -139,104 +154,125 @@
         slots = 1 if standing is Standing.PROBING else admission.slots
         waiting = len(admission.queue)
         mean = self._mean_seconds(profile)
-        urgent = admission.queue.up_to(profile.priority)
+        urgent = admission.queue.count_up_to(profile.priority)
         return OwnLoad(slots, admission.running, waiting, mean, urgent)
 
     def _mean_seconds(self, profile: Profile) -> float:
-        """Return the service time to tell of, ``UNMEASURED`` if it is not of late.
+        """Return the mean service time to report, ``UNMEASURED`` if it is too old.
 
-        An endpoint that was slow once gets little work. Its old figure kept, it would
-        never get the requests that show that it has recovered.
+        An endpoint that was slow gets few requests. If its old mean were reported
+        without limit, it would never get the requests that show that it has recovered.
         """
         now = self.loop.time()
         times = self.endpoint.admission.times
-        if times.count != self.measured:
-            self.measured = times.count
-            self.measured_at = now
-        if not times.is_telling or now - self.measured_at > MEASURE_SECONDS:
+        if times.count != self.sample_count:
+            self.sample_count = times.count
+            self.sampled_at = now
+        if not times.is_reliable or now - self.sampled_at > MEAN_VALID_SECONDS:
             return UNMEASURED
-        return times.mean / self.endpoint.ramp.share(now, profile.slow_start_seconds)
+        return times.mean / self.endpoint.slow_start.load_fraction(
+            now, profile.slow_start_seconds
+        )
 
     async def serve(
         self, request: Request, sink: TrackedSink, profile: Profile
-    ) -> Result[int, Refusal]:
-        """Run a request where it is best placed, and elsewhere if it comes to nothing.
+    ) -> Result[int, Failure]:
+        """Run a request at the best destination, and retry elsewhere if it fails.
+
+        Args:
+            request: The request.
+            sink: Gets the answer.
+            profile: The profile of the service.
 
         Returns:
-            The status of the whole answer that the sink has got, or what is known of a
-            request that has none.
+            The status of the answer, which the sink has got whole, or the last failure.
         """
-        self.budget.request(self.loop.time())
+        self.budget.record_request(self.loop.time())
         tried: set[str] = set()
         moves = attempts = 0
-        refusal = Refusal(Outcome.NOT_RUN, Reason.DRAINING, LEAST_RETRY_AFTER)
+        failure = Failure(
+            RequestOutcome.NOT_RUN, Reason.DRAINING, MIN_RETRY_AFTER_SECONDS
+        )
         urgent = request.priority <= profile.priority
-        while (place := self._place(profile, tried, urgent=urgent)) is not None:
-            tried.add(place)
-            match await self._run(place, request, sink, profile):
+        while (
+            destination := self._choose_destination(profile, tried, urgent=urgent)
+        ) is not None:
+            tried.add(destination)
+            match await self._run(destination, request, sink, profile):
                 case Ok(status):
                     return Ok(status)
-                case Err(refusal):
+                case Err(failure):
                     pass
-            if sink.begun or not is_repeatable(request.method, refusal):
+            if sink.begun or not is_repeatable(request.method, failure):
                 break
-            if refusal.reason is Reason.MOVED:
-                # It waited there while another had a slot free; all are open again.
+            if failure.reason is Reason.MOVED:
+                # It left a queue because another endpoint had a free slot; every
+                # endpoint may be chosen again.
                 tried.clear()
                 continue
-            if refusal.reason in TURNED_AWAY and refusal.outcome is Outcome.NOT_RUN:
+            if (
+                failure.reason in REJECTED_REASONS
+                and failure.outcome is RequestOutcome.NOT_RUN
+            ):
                 moves += 1
-                if moves > MOST_MOVES:
+                if moves > MAX_MOVES:
                     break
                 continue
             attempts += 1
-            if not await self._may_retry(attempts, request, refusal, profile):
+            if not await self._wait_to_retry(attempts, request, failure, profile):
                 break
-            if self._place(profile, tried, urgent=urgent) is None:
+            if self._choose_destination(profile, tried, urgent=urgent) is None:
                 tried.clear()
-        return Err(refusal)
+        return Err(failure)
 
     async def run_for_peer(
         self, request: Request, sink: AnswerSink, profile: Profile
-    ) -> Result[int, Refusal]:
-        """Run a request that another agent handed over; it goes no further."""
+    ) -> Result[int, Failure]:
+        """Run a request that another agent handed off; it is not handed off again."""
         if self.leaving:
-            leaving = Refusal(Outcome.NOT_RUN, Reason.DRAINING, LEAST_RETRY_AFTER)
+            leaving = Failure(
+                RequestOutcome.NOT_RUN, Reason.DRAINING, MIN_RETRY_AFTER_SECONDS
+            )
             return Err(leaving)
         return await self.endpoint.run(request, sink, profile)
 
-    def _place(self, profile: Profile, tried: set[str], *, urgent: bool) -> str | None:
-        """Return the best place not yet tried: an agent's name, ``HERE``, or None."""
+    def _choose_destination(
+        self, profile: Profile, tried: set[str], *, urgent: bool
+    ) -> str | None:
+        """Return the best one not yet tried: an agent's name, ``LOCAL``, or None."""
         own = self.own_load(profile)
         names = self.peers.names()
         loads = self.peers.loads
         if urgent:
-            own, loads = urgent_view(own, loads)
-        return best_place(own, loads, names, tried, profile.requests.queue)
+            own, loads = urgent_loads(own, loads)
+        return choose_destination(own, loads, names, tried, profile.requests.queue)
 
     async def _run(
-        self, place: str, request: Request, sink: TrackedSink, profile: Profile
-    ) -> Result[int, Refusal]:
-        if place == HERE:
-            self.counts.here += 1
+        self, destination: str, request: Request, sink: TrackedSink, profile: Profile
+    ) -> Result[int, Failure]:
+        """Run a request at this endpoint, or hand it off to an agent."""
+        if destination == LOCAL:
+            self.counts.local += 1
             return await self.endpoint.run(request, sink, profile)
         self.counts.moved += 1
-        # Counted against the peer until its own load shows the request; without this
-        # all requests of one moment would fall on the same idle peer.
-        self.peers.loads.sent(place)
-        self.loop.call_later(UNSEEN_SECONDS, self.peers.loads.answered, place)
-        return await self.handoffs.send(place, request, sink)
-
-    async def _may_retry(
-        self, attempts: int, request: Request, refusal: Refusal, profile: Profile
+        # Add the request to the peer's load until the peer's own report includes it.
+        # Otherwise all requests of the same moment would go to the same idle peer.
+        self.peers.loads.sent(destination)
+        self.loop.call_later(
+            PENDING_LOAD_SECONDS, self.peers.loads.answered, destination
+        )
+        return await self.handoffs.send(destination, request, sink)
+
+    async def _wait_to_retry(
+        self, attempts: int, request: Request, failure: Failure, profile: Profile
     ) -> bool:
-        """Spend a retry and pause; False if there is none, or no time for it."""
+        """Take a retry from the budget and wait for its backoff; False if none."""
         now = self.loop.time()
-        if refusal.reason in (Reason.CALLER_SHARE, Reason.CANCELLED):
+        if failure.reason in (Reason.CALLER_SHARE, Reason.CANCELLED):
             return False
         if attempts >= profile.retry.attempts:
             return False
-        pause = pause_before(attempts, profile.retry, self.draw)
+        pause = backoff_pause(attempts, profile.retry, self.random_fraction)
         if now + pause >= request.deadline:
             return False
         if not self.budget.spend(profile.retry, now):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""The report on service-level burn, and a relay's alerts."""
+"""The service-level report, and the alerts of a relay."""
 
 from cornelspan_balancer.service_levels import ServiceLevels
 from cornelspan_common.service_levels import Minute, ServiceCounts
@@ -13,7 +13,7 @@
 )
 
 NOW = 29_000_000
-PLACE = "chuo-hall"
+DATACENTRE = "chuo-hall"
 ORDERS = Profile(name="orders", objective=Objective(good_share=0.99))
 SNAPSHOT = Snapshot(
     revision=1,
@@ -25,7 +25,7 @@
 )
 
 
-def burning():
+def burning_summary():
     series = Series()
     for minute in range(NOW - 59, NOW + 1):
         series = add_minute(series, minute, 80, 20)
@@ -38,7 +38,11 @@
 
 
 def test_report_says_what_burns_and_what_is_missing():
-    summaries = [burning(), Summary("kita-hall", NOW - 45), Summary("atsubetsu-hall")]
+    summaries = [
+        burning_summary(),
+        Summary("kita-hall", NOW - 45),
+        Summary("atsubetsu-hall"),
+    ]
     report = build_report(summaries, SNAPSHOT, now=NOW)
     assert ("order-hub", FAST.name) in report.alerts
     assert report.missing == (
@@ -50,19 +54,21 @@
 
 
 def test_relay_raises_and_clears_an_alert_without_the_store():
-    # Orders fail for some minutes while the store is down. The relay hears the counts
-    # from the agents' streams and alerts on its own; when good minutes have followed,
-    # the short window clears the alert though the hour is still bad.
+    # Orders fail for some minutes while the store is down. The relay gets the counts
+    # from the agents and raises the alert itself. After good minutes the short window
+    # clears it, although the rate over the hour is still high.
     configuration = Configuration()
     configuration.apply(SNAPSHOT)
     levels = ServiceLevels(configuration)
     bad = tuple(Minute(NOW - age, 50, 50) for age in range(5))
-    levels.take(ServiceCounts("order-hub-1", 1, "order-hub", NOW, bad, b""), PLACE)
-    began = levels.check(NOW)
-    assert next(change.alert for change in began if change.firing) == FAST.name
+    levels.take(ServiceCounts("order-hub-1", 1, "order-hub", NOW, bad, b""), DATACENTRE)
+    raised = levels.check(NOW)
+    assert next(change.alert for change in raised if change.firing) == FAST.name
     assert levels.check(NOW) == []
     good = tuple(Minute(NOW + age, 100, 0) for age in range(1, 7))
-    levels.take(ServiceCounts("order-hub-1", 1, "order-hub", NOW + 6, good, b""), PLACE)
+    levels.take(
+        ServiceCounts("order-hub-1", 1, "order-hub", NOW + 6, good, b""), DATACENTRE
+    )
     ended = levels.check(NOW + 6)
     assert [c.alert for c in ended if not c.firing] == [FAST.name]
     assert {each.labels["window"] for each in levels.rates()} >= {"5 min", "1 h"}
