--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/dead_flows.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/dead_flows.py
@@ -4,8 +4,8 @@
 
 from cornelspan_common.logs import get_log
 from cornelspan_passthrough.flows import TrackedFlow
+from cornelspan_passthrough.health import DOWN, DRAINING, READY
 from cornelspan_passthrough.packet_headers import client_address, flow_text
-from cornelspan_passthrough.pulses import DOWN, DRAINING, READY
 
 if TYPE_CHECKING:
     from cornelspan_passthrough.agent import Agent
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivery.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivery.py
@@ -10,6 +10,7 @@
     UnconfirmedPacket,
     is_retransmission,
 )
+from cornelspan_passthrough.health import DOWN
 from cornelspan_passthrough.outlier_detection import fail_lost_requests
 from cornelspan_passthrough.packet_headers import (
     RST,
@@ -17,7 +18,6 @@
     address_text,
     flow_text,
 )
-from cornelspan_passthrough.pulses import DOWN
 from cornelspan_passthrough.request_queue import QueuedRequest
 from cornelspan_passthrough.urgency import request_deadlines
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from cornelspan_passthrough.pulses import DOWN, DRAINING, READY
+from cornelspan_passthrough.health import DOWN, DRAINING, READY
 
 # A report may be late by part of its interval. After 1.8 intervals one has been lost or
 # was never sent.
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/messages.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/messages.py
@@ -12,7 +12,7 @@
     UNKNOWN   home to balancer     no owner is recorded
     FORWARDED home to owner        a packet of a FIND, with the balancer's address
     RECORD    owner to homes       record the owner
-    PING, PONG, HELLO, GONE        state of the daemons, see ``pulses``
+    PING, PONG, HELLO, GONE        state of the daemons, see ``health``
 
 Packets are forwarded unchanged, so a hop costs one concatenation.
 """
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
@@ -1,4 +1,4 @@
-"""Runs a pass-through balancer: sockets, the tasks that follow the store, the stop."""
+"""Runs a pass-through balancer: its sockets, its background tasks and its shutdown."""
 
 import asyncio
 import time
@@ -8,9 +8,9 @@
 from cornelspan_common.logs import get_log
 from cornelspan_common.tasks import task_group
 from cornelspan_passthrough.balancer import Balancer
-from cornelspan_passthrough.fetching import fetch_from_peer
+from cornelspan_passthrough.fetching import fetch_and_apply_snapshot
 from cornelspan_passthrough.following import (
-    catch_up,
+    catch_up_with_peers,
     follow_configuration,
     follow_members,
     prune,
@@ -24,11 +24,11 @@
     HTTPRequest,
     HTTPResponse,
 )
-from cornelspan_passthrough.listing import list_member
 from cornelspan_passthrough.members import BALANCER, Member
-from cornelspan_passthrough.metrics import balancer_page
-from cornelspan_passthrough.reading import reading
-from cornelspan_passthrough.reloading import Orders, follow_settings
+from cornelspan_passthrough.metrics import balancer_metrics
+from cornelspan_passthrough.readers import reading_sockets
+from cornelspan_passthrough.registration import register_member
+from cornelspan_passthrough.reloading import ProcessSignals, follow_settings
 from cornelspan_passthrough.settings import socket_address
 from cornelspan_passthrough.snapshots import SNAPSHOT_PATH, encode_snapshot
 from cornelspan_passthrough.store import (
@@ -37,18 +37,20 @@
 )
 from cornelspan_passthrough.suspension import SuspensionDetector
 
-# Searches wait 40 ms for a home; looking every 20 ms finds them late by half at most.
+# A search waits 40 ms for a home. With a tick every 20 ms a timeout is noticed after 60
+# ms at the latest.
 TICK_SECONDS = 0.02
-# How soon an agent that comes up is noticed after a common loss of power; clients'
-# first packets wait for it.
-NEWCOMER_SECONDS = 0.05
-# Routers notice a balancer that leaves by two missed probes, half a second apart.
-ROUTERS_SECONDS = 1.5
-QUIET_SECONDS = 0.5
-# What is left of the time that a stop may take, for the process to end by itself.
+# How soon an agent that starts is noticed after a power loss; held first packets wait
+# for it.
+FAST_PING_SECONDS = 0.05
+# Routers remove a balancer after two failed probes, half a second apart.
+ROUTER_REMOVAL_SECONDS = 1.5
+# A stopping balancer exits once no client packet has arrived for this long.
+IDLE_SECONDS = 0.5
+# Part of the grace period that is left for the process to exit.
 STOP_MARGIN_SECONDS = 1.0
 
-ReadyPath = Callable[[HTTPRequest], bool]
+ReadinessMatcher = Callable[[HTTPRequest], bool]
 
 log = get_log(__name__)
 
@@ -56,143 +58,153 @@
 async def run_balancer(
     balancer: Balancer,
     open_store: OpenStore,
-    asks_readiness: ReadyPath,
-    orders: Orders,
+    is_readiness_request: ReadinessMatcher,
+    signals: ProcessSignals,
 ) -> None:
-    """Run a balancer until it is told to stop, then until routers have let go of it.
+    """Run a balancer until it is stopped, then until routers send it nothing more.
 
-    Packets that come before the configuration is read wait here for up to a second,
-    instead of for their client's next repeat.
+    Packets that arrive before the configuration is read are held for up to a second, so
+    that their clients need not retransmit.
 
     Args:
-        balancer: The balancer; its sockets are open and may have taken packets already.
+        balancer: The balancer; its sockets are open and may have received packets
+            already.
         open_store: Returns the platform's store.
-        asks_readiness: Whether a call asks for the balancer's readiness.
-        orders: When to stop, and where the settings are.
+        is_readiness_request: Whether an HTTP request asks for the balancer's readiness.
+        signals: When to stop, and the settings file.
     """
     settings = balancer.settings
-    with ExitStack() as serving:
-        serving.enter_context(reading(balancer.sockets))
+    with ExitStack() as resources:
+        resources.enter_context(reading_sockets(balancer.sockets))
         async with task_group() as tasks:
-            tasks.start(_tick(balancer), name="tick")
+            tasks.start(_run_ticks(balancer), name="tick")
             store = open_store(settings.store)
-            backoffs = [Backoff(balancer.chance) for _ in range(3)]
+            backoffs = [Backoff(balancer.rng) for _ in range(3)]
             tasks.start(
                 follow_configuration(balancer, store, backoffs[0]),
                 name="configuration",
             )
             tasks.start(follow_members(balancer, store, backoffs[1]), name="members")
             member = Member(settings.address, BALANCER, settings.datacentre)
-            tasks.start(list_member(store, member, backoffs[2]), name="listing")
-            tasks.start(catch_up(balancer, store, fetch_from_peer), name="catching up")
-            tasks.start(_ping(balancer), name="pings")
+            tasks.start(register_member(store, member, backoffs[2]), name="listing")
+            tasks.start(
+                catch_up_with_peers(balancer, store, fetch_and_apply_snapshot),
+                name="catching up",
+            )
+            tasks.start(_ping_members(balancer), name="pings")
             tasks.start(
                 send_hellos(
                     settings,
                     member,
-                    balancer.daemons,
+                    balancer.daemon_socket,
                     lambda: balancer.members.revision > 0,
                 ),
                 name="greeting",
             )
             tasks.start(prune(balancer, store), name="pruning")
             tasks.start(
-                follow_settings(orders, settings, balancer.take_settings),
+                follow_settings(signals, settings, balancer.apply_settings),
                 name="settings",
             )
-            _answer_calls(balancer, asks_readiness, serving)
+            _serve_http(balancer, is_readiness_request, resources)
             log.info("started", extra={"address": settings.address})
-            await orders.stop.wait()
-            await _leave(balancer)
+            await signals.stop.wait()
+            await _drain(balancer)
     log.info("stopped", extra={"address": settings.address})
 
 
-def _answer_calls(
-    balancer: Balancer, asks_readiness: ReadyPath, serving: ExitStack
+def _serve_http(
+    balancer: Balancer, is_readiness_request: ReadinessMatcher, resources: ExitStack
 ) -> None:
-    """Answer the routers' probes, and calls of peers and for metrics."""
+    """Serve the routers' probes, peers' snapshot calls and metrics."""
     settings = balancer.settings
     handlers: dict[tuple[str, int], Handler] = {
-        socket_address(settings.ready): lambda call: _readiness(
-            balancer, call, asks_readiness
+        socket_address(settings.ready): lambda request: _answer_readiness(
+            balancer, request, is_readiness_request
         ),
-        (settings.address, settings.internal_port): lambda call: _peer_call(
-            balancer, call
+        (settings.address, settings.internal_port): lambda request: _answer_peer(
+            balancer, request
         ),
     }
     if settings.metrics_port is not None:
         address = (settings.address, settings.metrics_port)
-        handlers[address] = lambda call: balancer_page(balancer)
+        handlers[address] = lambda request: balancer_metrics(balancer)
     for address, handler in handlers.items():
-        serving.enter_context(http_server(address, handler))
+        resources.enter_context(http_server(address, handler))
 
 
-def _readiness(
-    balancer: Balancer, call: HTTPRequest, asks_readiness: ReadyPath
+def _answer_readiness(
+    balancer: Balancer, request: HTTPRequest, is_readiness_request: ReadinessMatcher
 ) -> HTTPResponse:
-    if not asks_readiness(call):
+    """Answer 200 if routers may send packets here, else 503."""
+    if not is_readiness_request(request):
         return NOT_FOUND
     return HTTPResponse(200 if balancer.is_ready() else 503)
 
 
-def _peer_call(balancer: Balancer, call: HTTPRequest) -> HTTPResponse:
-    if call.path != SNAPSHOT_PATH:
+def _answer_peer(balancer: Balancer, request: HTTPRequest) -> HTTPResponse:
+    """Answer a peer's request for a snapshot."""
+    if request.path != SNAPSHOT_PATH:
         return NOT_FOUND
     return HTTPResponse(200, encode_snapshot(balancer), BINARY)
 
 
-async def _ping(balancer: Balancer) -> None:
-    """Ask all agents and tell all balancers, spread over the interval."""
-    suspensions = SuspensionDetector()
+async def _ping_members(balancer: Balancer) -> None:
+    """Ping all members once per interval, and agents that are starting more often."""
+    suspension_detector = SuspensionDetector()
     loop_time = asyncio.get_running_loop().time
     while True:
-        pulse = balancer.settings.pulse
-        addresses = _others(balancer)
-        least = pulse.interval_milliseconds / 1000
-        interval = max(least, len(addresses) / pulse.pings_per_second)
-        began = time.monotonic()
-        if suspensions.has_been_suspended():
+        policy = balancer.settings.pulse
+        addresses = _other_members(balancer)
+        min_interval = policy.interval_milliseconds / 1000
+        interval = max(min_interval, len(addresses) / policy.pings_per_second)
+        started_at = time.monotonic()
+        if suspension_detector.has_been_suspended():
             log.warning("this VM was suspended")
-            balancer.pulses.doubt_nothing()
+            balancer.health.clear_unanswered_pings()
         for address, is_agent in addresses:
             if is_agent:
                 balancer.ping_agent(address, loop_time())
             else:
                 balancer.ping(address)
-        while time.monotonic() - began < interval:
-            await asyncio.sleep(NEWCOMER_SECONDS)
-            agents = [address for address, is_agent in _others(balancer) if is_agent]
-            for address in balancer.pulses.newcomers(agents):
+        while time.monotonic() - started_at < interval:
+            await asyncio.sleep(FAST_PING_SECONDS)
+            agents = [
+                address for address, is_agent in _other_members(balancer) if is_agent
+            ]
+            for address in balancer.health.unseen_agents(agents):
                 balancer.ping_agent(address, loop_time())
 
 
-def _others(balancer: Balancer) -> list[tuple[str, bool]]:
+def _other_members(balancer: Balancer) -> list[tuple[str, bool]]:
+    """Return address and whether it is an agent, for all members but this balancer."""
     agents = [(member.address, True) for member in balancer.members.agents()]
-    own = balancer.settings.address
+    own_address = balancer.settings.address
     peers = [
         (member.address, False)
         for member in balancer.members.balancers()
-        if member.address != own
+        if member.address != own_address
     ]
     return agents + peers
 
 
-async def _tick(balancer: Balancer) -> None:
+async def _run_ticks(balancer: Balancer) -> None:
+    """Call the balancer's tick at intervals."""
     now: Callable[[], float] = asyncio.get_running_loop().time
     while True:
         await asyncio.sleep(TICK_SECONDS)
         balancer.tick(now())
 
 
-async def _leave(balancer: Balancer) -> None:
-    """Go on forwarding until routers send nothing more, within the grace."""
+async def _drain(balancer: Balancer) -> None:
+    """Keep forwarding until routers send nothing more, within the grace period."""
     balancer.stopping = True
     log.info("stopping")
     loop = asyncio.get_running_loop()
     deadline = loop.time() + balancer.settings.grace_seconds - STOP_MARGIN_SECONDS
-    await asyncio.sleep(min(ROUTERS_SECONDS, max(0.0, deadline - loop.time())))
-    while loop.time() + QUIET_SECONDS < deadline:
-        seen = balancer.client_packets
-        await asyncio.sleep(QUIET_SECONDS)
-        if balancer.client_packets == seen:
+    await asyncio.sleep(min(ROUTER_REMOVAL_SECONDS, max(0.0, deadline - loop.time())))
+    while loop.time() + IDLE_SECONDS < deadline:
+        packets_before = balancer.client_packets
+        await asyncio.sleep(IDLE_SECONDS)
+        if balancer.client_packets == packets_before:
             return
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_ablations.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_ablations.py
@@ -22,8 +22,8 @@
     delivery,
     first_packets,
     flows,
+    owner_search,
     placing,
-    searching,
 )
 from cornelspan_passthrough.homes import Homes
 from cornelspan_passthrough.request_queue import RequestQueue
@@ -50,19 +50,19 @@
 
 MECHANISMS: dict[str, tuple[Change, ...]] = {
     # Waiting for all agents when the first has answered.
-    "gathering": (Change(first_packets, "GATHER_SECONDS", 0.0),),
+    "gathering": (Change(first_packets, "STARTUP_SETTLE_SECONDS", 0.0),),
     # Passing over an endpoint that has just turned a flow away.
-    "refusals": (Change(first_packets, "REFUSED_SECONDS", 0.0),),
+    "refusals": (Change(first_packets, "REJECTION_COOLDOWN_SECONDS", 0.0),),
     # Busy agents that hand first packets on.
     "handing-on": (Change(agent, "BUSY_FACTOR", math.inf),),
     # Keeping first packets while no agent has answered.
-    "holding": (Change(first_packets, "_knows_agents", lambda *_: True),),
+    "holding": (Change(first_packets, "_may_place_now", lambda *_: True),),
     # Telling clients of dead flows.
     "dead-flows": (
         Change(dead_flows, "reset_dead_flow", _forget),
         Change(agent, "reset_dead_flow", _forget),
-        Change(searching, "end_if_dead", _nothing),
-        Change(balancer, "end_if_dead", _nothing),
+        Change(owner_search, "reset_if_dead", _nothing),
+        Change(balancer, "reset_if_dead", _nothing),
     ),
     # Agents that record owners of flows.
     "homes": (Change(Homes, "of", lambda self, flow: ()),),
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_policies.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_policies.py
@@ -3,7 +3,12 @@
 import random
 from collections.abc import Iterable
 
-from cornelspan_passthrough.placing import Candidate, Choose, choose, takes_flows
+from cornelspan_passthrough.placing import (
+    Candidate,
+    ChooseEndpoint,
+    choose_endpoint,
+    takes_flows,
+)
 from cornelspan_passthrough.request_queue import (
     QueuedRequest,
     RequestOrder,
@@ -36,7 +41,7 @@
     candidates: Iterable[Candidate], chance: random.Random, now: float
 ) -> str:
     """Choose any endpoint that takes flows."""
-    addresses = [each.address for each in candidates if takes_flows(each.pulse)]
+    addresses = [each.address for each in candidates if takes_flows(each.health)]
     return chance.choice(addresses) if addresses else ""
 
 
@@ -46,9 +51,9 @@
     """Choose the endpoint with the fewest open flows, busy or not."""
     best = min(
         (
-            (each.pulse.pong.flows if each.pulse.pong else 0, chance.random(), each)
+            (each.health.pong.flows if each.health.pong else 0, chance.random(), each)
             for each in candidates
-            if takes_flows(each.pulse)
+            if takes_flows(each.health)
         ),
         default=None,
         key=lambda found: found[:2],
@@ -63,8 +68,8 @@
     "age": by_age,
     "none": on_time_first,
 }
-PLACINGS: dict[str, Choose] = {
-    "product": choose,
+PLACINGS: dict[str, ChooseEndpoint] = {
+    "product": choose_endpoint,
     "random": choose_by_chance,
     "fewest-flows": choose_fewest_flows,
 }
--- a/packages/cornelspan-standins/src/cornelspan_standins/packet_world.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/packet_world.py
@@ -25,7 +25,7 @@
 from cornelspan_passthrough.endpoint import Incarnation, Report
 from cornelspan_passthrough.members import AGENT, BALANCER, Member
 from cornelspan_passthrough.packet_headers import route_number
-from cornelspan_passthrough.running_balancer import NEWCOMER_SECONDS
+from cornelspan_passthrough.running_balancer import FAST_PING_SECONDS
 from cornelspan_passthrough.settings import (
     ObjectStoreSettings,
     PassthroughAgentSettings,
@@ -151,10 +151,10 @@
         balancer = Balancer(settings, CODEC, clients, daemons, chance)
         balancer.routes.replace(self.configuration)
         self.balancers[address] = balancer
-        self.handlers[clients.own] = lambda data, _: balancer.from_client(
+        self.handlers[clients.own] = lambda data, _: balancer.receive_from_client(
             data, self.now
         )
-        self.handlers[daemons.own] = lambda data, sender: balancer.from_daemon(
+        self.handlers[daemons.own] = lambda data, sender: balancer.receive_from_daemon(
             data, sender, self.now
         )
         self.routers.add(address)
@@ -220,7 +220,7 @@
         """Give all balancers the present listing."""
         for balancer in self.balancers.values():
             balancer.members.replace(list(self.members.values()), 1)
-            balancer.members_changed(self.now)
+            balancer.recompute_from_members(self.now)
 
     def configure(self, shares: list[tuple[str, int]]) -> None:
         """Put a new configuration in force."""
@@ -325,9 +325,9 @@
     def _ping_newcomers(self) -> None:
         for balancer in self._awake(self.balancers):
             agents = [member.address for member in balancer.members.agents()]
-            for address in balancer.pulses.newcomers(agents):
+            for address in balancer.health.unseen_agents(agents):
                 balancer.ping_agent(address, self.now)
-        self.after(NEWCOMER_SECONDS, self._ping_newcomers)
+        self.after(FAST_PING_SECONDS, self._ping_newcomers)
 
     def _report(self) -> None:
         for address, endpoint in self.endpoints.items():
--- a/tests/test_passthrough_judging.py
+++ b/tests/test_passthrough_judging.py
@@ -3,8 +3,8 @@
 import pytest
 
 from cornelspan_common.ejection import Standing
-from cornelspan_passthrough.placing import EJECTED_SHARE, Candidate, choose
-from cornelspan_passthrough.pulses import READY, Pong, Pulse
+from cornelspan_passthrough.health import READY, AgentHealth, Pong
+from cornelspan_passthrough.placing import MAX_EJECTED_SHARE, Candidate, choose_endpoint
 from cornelspan_standins.packet_world import PacketWorld
 
 BALANCERS = ("10.1.0.10", "10.2.0.10")
@@ -103,17 +103,19 @@
 
 
 def candidates(ejected, count=6):
-    def pulse(number):
+    def health(number):
         pong = Pong("", "", "orders", READY, 2, 0, 0, number < ejected)
-        return Pulse(pong=pong)
+        return AgentHealth(pong=pong)
 
-    return [Candidate(str(number), pulse(number)) for number in range(count)]
+    return [Candidate(str(number), health(number)) for number in range(count)]
 
 
 def test_ejected_endpoints_come_last_but_not_if_too_many_are(world):
     """With too many endpoints ejected, the rest does not get the whole load."""
-    some, many = round(EJECTED_SHARE * 6), round(EJECTED_SHARE * 6) + 1
-    few = {choose(candidates(some), world.chance, 0.0) for _ in range(200)}
+    some, many = round(MAX_EJECTED_SHARE * 6), round(MAX_EJECTED_SHARE * 6) + 1
+    few = {choose_endpoint(candidates(some), world.chance, 0.0) for _ in range(200)}
     assert few == {str(number) for number in range(some, 6)}
-    all_chosen = {choose(candidates(many), world.chance, 0.0) for _ in range(200)}
+    all_chosen = {
+        choose_endpoint(candidates(many), world.chance, 0.0) for _ in range(200)
+    }
     assert len(all_chosen) == 6
--- a/tests/test_passthrough_lives.py
+++ b/tests/test_passthrough_lives.py
@@ -5,7 +5,7 @@
 
 from cornelspan_passthrough.http_messages import HTTPRequest
 from cornelspan_passthrough.running_agent import answer_call
-from cornelspan_shirakaba.calls import HEARTBEAT, LEAVE, read_call
+from cornelspan_shirakaba.calls import HEARTBEAT_PATH, LEAVE_PATH, decode_call
 from passthrough_world import BALANCERS, ORDERS, owner_of, small_world
 
 STARTED_MILLISECONDS = 1_790_000_000_000
@@ -34,8 +34,8 @@
         "sequence": sequence,
         "born": born,
     } | more
-    call = HTTPRequest("POST", f"{HEARTBEAT}{name}", msgspec.json.encode(body))
-    return answer_call(world.agents[address], read_call(call), world.now).status
+    call = HTTPRequest("POST", f"{HEARTBEAT_PATH}{name}", msgspec.json.encode(body))
+    return answer_call(world.agents[address], decode_call(call), world.now).status
 
 
 def open_flow_with_owner(world):
@@ -139,8 +139,8 @@
     client, owner = open_flow_with_owner(world)
     send_report(world, owner, born=STARTED_MILLISECONDS + 900, sequence=3)
     for body in (b"", msgspec.json.encode({"born": STARTED_MILLISECONDS})):
-        call = HTTPRequest("POST", f"{LEAVE}i-1", body)
-        answer_call(world.agents[owner], read_call(call), world.now)
+        call = HTTPRequest("POST", f"{LEAVE_PATH}i-1", body)
+        answer_call(world.agents[owner], decode_call(call), world.now)
     world.run(0.1)
     client.request()
     world.run(0.3)
