--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -298,7 +298,7 @@
                 running_agent.flows.sweep(lambda: running_agent.profile.idle_seconds),
                 name="sweep",
             )
-            members.announce(running_agent.announcement())
+            members.record(running_agent.announcement())
             tasks.start(running_agent.router.run(), name="watch peers")
             counts = running_agent.gateway.objective_counts
             reporting = report_counts(counts, settings, running_agent.control.plane)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
@@ -33,6 +33,7 @@
     TrackedFlow,
     UnconfirmedPacket,
 )
+from cornelspan_passthrough.health import DOWN, DRAINING, Ping, Pong
 from cornelspan_passthrough.histograms import Histogram
 from cornelspan_passthrough.members import service_tag
 from cornelspan_passthrough.outlier_detection import (
@@ -51,7 +52,6 @@
     client_address,
     flow_text,
 )
-from cornelspan_passthrough.pulses import DOWN, DRAINING, Ping, Pong
 from cornelspan_passthrough.request_queue import RequestQueue
 from cornelspan_passthrough.settings import PassthroughAgentSettings, socket_address
 from cornelspan_passthrough.urgency import MILLISECONDS
@@ -254,7 +254,7 @@
             return
         self.last_ping_at = now
         self.balancers.add(sender)
-        if ping.listed:
+        if ping.is_registered:
             self.unregistered_since = None
         elif self.unregistered_since is None:
             self.unregistered_since = now
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/datagrams.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/datagrams.py
@@ -1,4 +1,4 @@
-"""UDP sockets, independent of what polls them; see ``reading`` for the event loop."""
+"""UDP sockets, independent of what polls them; see ``readers`` for the event loop."""
 
 import socket
 from collections.abc import Callable, Iterator
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/members.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/members.py
@@ -1,4 +1,4 @@
-"""The daemons that a process knows: as they are listed, and as they say themselves."""
+"""The daemons that a process knows: registered in the store, or self-announced."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -15,8 +15,8 @@
 class Member(msgspec.Struct, frozen=True):
     """One daemon, by the address of its VM.
 
-    ``service`` is that of an agent's endpoint, "" for a balancer. Nothing here changes
-    when the process restarts, so a restart changes nothing for those who watch.
+    ``service`` is that of an agent's endpoint, "" for a balancer. No field changes when
+    the process restarts, so a restart causes no change for watchers.
     """
 
     address: str
@@ -29,80 +29,82 @@
 class Members:
     """All known daemons by address.
 
-    ``revision`` is the store's when the listing was read, 0 before the first. ``told``
-    holds those that spoke for themselves and are not listed (yet). ``is_whole`` says
-    that a whole listing is known, from the store or from a peer that has read it.
+    ``revision`` is the store's revision of the last full list, 0 before the first one.
+    ``announced`` holds members that announced themselves and have no entry yet.
+    ``is_complete`` says that all members are known, from the store or from a peer that
+    has read them.
     """
 
-    listed: dict[str, Member] = field(default_factory=dict)
-    told: dict[str, Member] = field(default_factory=dict)
+    registered: dict[str, Member] = field(default_factory=dict)
+    announced: dict[str, Member] = field(default_factory=dict)
     revision: int = 0
-    is_whole: bool = False
+    is_complete: bool = False
 
     def replace(
         self, members: list[Member], revision: int, unreadable: Iterable[str] = ()
     ) -> bool:
-        """Take in a whole listing; return False if a newer one is known.
+        """Apply a full list; return False if a newer one is known.
 
         Args:
-            members: All that are listed.
-            revision: The store's.
+            members: All registered members.
+            revision: The store's revision.
             unreadable: Names of entries that can't be read.
         """
         if revision < self.revision:
             return False
         for address in unreadable:
-            self.lose_entry(address)
-        self.listed = {member.address: member for member in members}
+            self.mark_unreadable(address)
+        self.registered = {member.address: member for member in members}
         self.revision = revision
-        self.is_whole = True
-        self._forget_told()
+        self.is_complete = True
+        self._drop_registered_announcements()
         return True
 
     def put(self, member: Member, revision: int) -> None:
-        """Take in a listed member that has come or changed."""
-        self.listed[member.address] = member
+        """Apply a registered member that was added or changed."""
+        self.registered[member.address] = member
         self.revision = max(self.revision, revision)
-        self._forget_told()
+        self._drop_registered_announcements()
 
-    def lose_entry(self, address: str) -> None:
-        """Take in that a member's entry was overwritten by what can't be read.
+    def mark_unreadable(self, address: str) -> None:
+        """Treat a member whose entry was overwritten and can't be read as unregistered.
 
-        The daemon itself may be well. Taken off the list, it would no longer be asked
-        for its flows, and these would seem dead and be reset. So it stays until it is
-        silent for long; told by the pings that it is not listed, it lists itself anew.
+        Its daemon may be alive. If it were removed, it would no longer be queried for
+        its flows, which would seem dead and be reset. So it stays until failure
+        detection removes it. Pings tell it that it is not registered, and it registers
+        again.
         """
-        member = self.listed.pop(address, None)
+        member = self.registered.pop(address, None)
         if member is not None:
-            self.told.setdefault(address, member)
+            self.announced.setdefault(address, member)
 
     def remove(self, address: str, revision: int) -> None:
-        """Take in that a member is no longer listed."""
-        self.listed.pop(address, None)
+        """Apply the removal of a member's entry."""
+        self.registered.pop(address, None)
         self.revision = max(self.revision, revision)
 
-    def tell(self, member: Member) -> bool:
-        """Take in what a daemon says of itself; return whether that is news.
+    def add_announced(self, member: Member) -> bool:
+        """Record a member that announced itself; return whether that changes anything.
 
-        An address that another service has taken over is known here from its new owner
-        before the listing says so.
+        The new owner of an address that another service used before is known this way
+        before the store lists it.
         """
         if self.get(member.address) == member:
             return False
-        self.told[member.address] = member
+        self.announced[member.address] = member
         return True
 
-    def forget(self, address: str) -> None:
-        """Forget what a daemon said of itself."""
-        self.told.pop(address, None)
+    def remove_announced(self, address: str) -> None:
+        """Remove a member that announced itself."""
+        self.announced.pop(address, None)
 
     def get(self, address: str) -> Member | None:
-        """Return the member at an address; its own word goes before the listing."""
-        return self.told.get(address) or self.listed.get(address)
+        """Return the member at an address; its announcement precedes its entry."""
+        return self.announced.get(address) or self.registered.get(address)
 
     def all(self) -> list[Member]:
         """Return all members."""
-        return list({**self.listed, **self.told}.values())
+        return list({**self.registered, **self.announced}.values())
 
     def agents(self) -> list[Member]:
         """Return all agents."""
@@ -112,12 +114,12 @@
         """Return all balancers."""
         return [member for member in self.all() if member.role == BALANCER]
 
-    def _forget_told(self) -> None:
-        for address, member in list(self.told.items()):
-            if self.listed.get(address) == member:
-                del self.told[address]
+    def _drop_registered_announcements(self) -> None:
+        for address, member in list(self.announced.items()):
+            if self.registered.get(address) == member:
+                del self.announced[address]
 
 
 def service_tag(service: str) -> int:
-    """Return the number that stands for a service between daemons."""
+    """Return the 32-bit hash that identifies a service in datagrams."""
     return name_seed(service) & TAG_MASK
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
@@ -12,6 +12,7 @@
 from cornelspan_passthrough.agent import Agent
 from cornelspan_passthrough.delivery import release_requests
 from cornelspan_passthrough.endpoint import Incarnation, Report, ReportOutcome
+from cornelspan_passthrough.health import DOWN
 from cornelspan_passthrough.hello import send_hellos
 from cornelspan_passthrough.http import http_server, serve_listener
 from cornelspan_passthrough.http_messages import (
@@ -20,13 +21,12 @@
     HTTPRequest,
     HTTPResponse,
 )
-from cornelspan_passthrough.listing import list_member
 from cornelspan_passthrough.members import AGENT, Member
 from cornelspan_passthrough.messages import GONE
-from cornelspan_passthrough.metrics import agent_page
-from cornelspan_passthrough.pulses import DOWN
-from cornelspan_passthrough.reading import reading
-from cornelspan_passthrough.reloading import Orders, follow_settings
+from cornelspan_passthrough.metrics import agent_metrics
+from cornelspan_passthrough.readers import reading_sockets
+from cornelspan_passthrough.registration import register_member
+from cornelspan_passthrough.reloading import ProcessSignals, follow_settings
 from cornelspan_passthrough.settings import PassthroughAgentSettings
 from cornelspan_passthrough.store import Backoff, OpenStore, PlatformStore
 
@@ -80,7 +80,10 @@
 
 
 async def run_agent(
-    agent: Agent, open_store: OpenStore, decode_call: DecodeCall, orders: Orders
+    agent: Agent,
+    open_store: OpenStore,
+    decode_call: DecodeCall,
+    signals: ProcessSignals,
 ) -> None:
     """Run an agent until it is told to stop.
 
@@ -92,7 +95,7 @@
     """
     settings = agent.settings
     with ExitStack() as serving:
-        serving.enter_context(reading(agent.sockets))
+        serving.enter_context(reading_sockets(agent.sockets))
         async with task_group() as tasks:
             member = _member(settings)
             tasks.start(_sweep_periodically(agent), name="sweep")
@@ -111,10 +114,10 @@
             tasks.start(_stay_registered(agent, member, store), name="listing")
             tasks.start(_watch_endpoint(agent), name="endpoint")
             tasks.start(
-                follow_settings(orders, settings, agent.take_settings), name="settings"
+                follow_settings(signals, settings, agent.take_settings), name="settings"
             )
             log.info("started", extra={"address": settings.address})
-            await orders.stop.wait()
+            await signals.stop.wait()
             await _stop(agent, store)
     log.info("stopped", extra={"address": settings.address})
 
@@ -132,7 +135,9 @@
         )
     if settings.metrics_port is not None:
         address = (settings.address, settings.metrics_port)
-        serving.enter_context(http_server(address, lambda request: agent_page(agent)))
+        serving.enter_context(
+            http_server(address, lambda request: agent_metrics(agent))
+        )
 
 
 def _member(settings: PassthroughAgentSettings) -> Member:
@@ -186,14 +191,14 @@
 async def _stay_registered(agent: Agent, member: Member, store: PlatformStore) -> None:
     """Register this agent, and do so again whenever its entry may be gone."""
     backoff = Backoff(random.Random())
-    await list_member(store, member, backoff)
+    await register_member(store, member, backoff)
     ping_timeout = PING_TIMEOUT_SECONDS
     while True:
         await asyncio.sleep(REGISTRATION_CHECK_SECONDS)
         if not _may_be_unregistered(agent, ping_timeout):
             continue
         last_ping_at = agent.last_ping_at
-        await list_member(store, member, backoff)
+        await register_member(store, member, backoff)
         agent.unregistered_since = None
         was_not_pinged = agent.last_ping_at == last_ping_at
         ping_timeout = min(MAX_PING_TIMEOUT_SECONDS, ping_timeout * 2)
--- a/packages/cornelspan-standins/src/cornelspan_standins/experiment_ideal.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/experiment_ideal.py
@@ -60,7 +60,7 @@
     def guide(self, balancer: Balancer) -> None:
         """Have a balancer know the owner of each packet's flow, and what is dead."""
         own = (balancer.settings.address, PACKETS_PORT)
-        balancer.choose = self.choose
+        balancer.choose_endpoint = self.choose
 
         def from_client(data: bytes, sender: str) -> None:
             head = CODEC.read_client(data)
@@ -75,7 +75,7 @@
                     balancer.reset(head.flow, head.acknowledged)
                     return
                 balancer.owners.learn(head.flow, owner)
-            balancer.from_client(data, self.world.now)
+            balancer.receive_from_client(data, self.world.now)
 
         self.world.handlers[own] = from_client
 
--- a/tests/http_fakes.py
+++ b/tests/http_fakes.py
@@ -147,7 +147,7 @@
             self.gateways[to].receive(sender, message)
 
     def announce(self, name, incarnation):
-        self.members.announce(
+        self.members.record(
             Announce(
                 name, "agent", "chuo-hall", incarnation, HOST, 1, SERVICE, 1.0, 2, False
             )
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -52,7 +52,7 @@
     """A router between two peers, a balancer and a fabric."""
     members = Members()
     for name in NAMES:
-        members.announce(announcement(name))
+        members.record(announcement(name))
     configuration = Configuration()
     for address, service in ((ADDRESS, "order-hub"), (OTHER, "receipt-render")):
         configuration.by_address[address] = SimpleNamespace(name=service)
@@ -158,9 +158,7 @@
     world.router.check_group()
     world.router.route(routed(Kind.DATA))
     assert world.to_fabric == []
-    world.members.announce(
-        msgspec.structs.replace(announcement("hub-3"), incarnation=2)
-    )
+    world.members.record(msgspec.structs.replace(announcement("hub-3"), incarnation=2))
     world.router.check_group()
     world.router.receive(owner, Owner(7, "hub-3", 2))
     world.router.pending_removals = [
