--- a/packages/cornelspan-cli/src/cornelspan_cli/_client.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/_client.py
@@ -11,7 +11,7 @@
 import cappa
 from result import Err, Ok
 
-from cornelspan_cli._output import Exit, fail, show_json
+from cornelspan_cli._output import ExitCode, fail, show_json
 from cornelspan_common.settings import ClientSettings, load_settings
 from cornelspan_common.tls import Tls, open_tls
 from cornelspan_control.changes import Change, accept
@@ -20,11 +20,11 @@
 from cornelspan_control.store import StoreClient
 
 DEFAULT_SETTINGS = "cornelspan.json"
-WAIT_STEP_SECONDS = 0.5
+POLL_INTERVAL_SECONDS = 0.5
 
 
 @dataclass(frozen=True, kw_only=True)
-class Common(ABC):
+class OperatorCommand(ABC):
     """Options of every operator command, and how each is run."""
 
     settings: Annotated[
@@ -39,15 +39,15 @@
 
     def __call__(self) -> int:
         """Run the command and return its exit code."""
-        return run(self, self.work)
+        return run_command(self, self.execute)
 
     @abstractmethod
-    async def work(self, session: "Session") -> int:
+    async def execute(self, session: "Session") -> int:
         """Do what the command is for, and return its exit code."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Changing(Common):
+class ChangeCommand(OperatorCommand):
     """Options of every command that changes the configuration."""
 
     author: Annotated[str, cappa.Arg(long="--author", help="Who makes the change.")] = (
@@ -69,10 +69,10 @@
     settings: ClientSettings
 
 
-Work = Callable[[Session], Awaitable[int]]
+CommandBody = Callable[[Session], Awaitable[int]]
 
 
-def run(options: Common, work: Work) -> int:
+def run_command(options: OperatorCommand, execute: CommandBody) -> int:
     """Load the settings, run a command's work, and return its exit code."""
     match load_settings(options.settings, ClientSettings):
         case Err(error):
@@ -83,23 +83,27 @@
         case Err(error):
             return fail(error)
         case Ok(tls):
-            return asyncio.run(_run(settings, tls, work))
+            return asyncio.run(_run_with_client(settings, tls, execute))
 
 
-async def _run(settings: ClientSettings, tls: Tls, work: Work) -> int:
+async def _run_with_client(
+    settings: ClientSettings, tls: Tls, execute: CommandBody
+) -> int:
     client = StoreClient(settings.store, tls=tls.client)
     try:
-        return await work(Session(client, settings))
+        return await execute(Session(client, settings))
     finally:
         client.close()
 
 
-def author_of(options: Changing) -> str:
+def change_author(options: ChangeCommand) -> str:
     """Return the author to record with a change."""
     return options.author or getpass.getuser()
 
 
-async def make(session: Session, options: Changing, change: Change) -> int:
+async def submit_change(
+    session: Session, options: ChangeCommand, change: Change
+) -> int:
     """Have a change accepted, say so, and wait for it if asked to."""
     match await accept(session.client, change):
         case Err(error):
@@ -111,13 +115,15 @@
     else:
         print(f"accepted as revision {accepted.revision}, version {accepted.change}")
     if not options.wait:
-        return Exit.DONE
-    return await _wait(session, options, accepted)
+        return ExitCode.SUCCESS
+    return await _wait_until_in_force(session, options, accepted)
 
 
-async def _wait(session: Session, options: Changing, accepted: AcceptedChange) -> int:
+async def _wait_until_in_force(
+    session: Session, options: ChangeCommand, accepted: AcceptedChange
+) -> int:
     """Wait until every live daemon has the revision, or say which has not."""
-    ends = time.monotonic() + options.wait_seconds
+    deadline = time.monotonic() + options.wait_seconds
     revision = accepted.revision
     while True:
         fleet = await read_fleet_status(
@@ -126,10 +132,10 @@
         behind = fleet.members_behind(revision)
         if fleet.answers and not behind:
             print(f"in force on {len(fleet.members())} daemons")
-            return Exit.DONE
-        if time.monotonic() > ends:
+            return ExitCode.SUCCESS
+        if time.monotonic() > deadline:
             break
-        await asyncio.sleep(WAIT_STEP_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
     missing = ", ".join(behind) if fleet.answers else "all, since no relay answers"
     fail(f"accepted, but revision {revision} is not yet in force on: {missing}")
-    return Exit.NOT_IN_FORCE
+    return ExitCode.NOT_IN_FORCE
--- a/packages/cornelspan-cli/src/cornelspan_cli/_output.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/_output.py
@@ -19,15 +19,15 @@
 )
 
 
-class Exit(IntEnum):
+class ExitCode(IntEnum):
     """Exit codes; documented in docs/OPERATIONS.md."""
 
-    DONE = 0
-    REFUSED = 1
-    USAGE = 2
+    SUCCESS = 0
+    REJECTED = 1
+    USAGE_ERROR = 2
     CONFLICT = 3
-    STORE = 4
-    UNKNOWN = 5
+    STORE_ERROR = 4
+    INDETERMINATE = 5
     NOT_IN_FORCE = 6
     ALERT = 7
 
@@ -59,12 +59,12 @@
     """Return the exit code for an error."""
     match error:
         case Invalid() | NotFound():
-            return Exit.REFUSED
+            return ExitCode.REJECTED
         case Conflict():
-            return Exit.CONFLICT
+            return ExitCode.CONFLICT
         case Indeterminate():
-            return Exit.UNKNOWN
+            return ExitCode.INDETERMINATE
         case SettingsError():
-            return Exit.USAGE
+            return ExitCode.USAGE_ERROR
         case NotWritten() | _:
-            return Exit.STORE
+            return ExitCode.STORE_ERROR
--- a/packages/cornelspan-cli/src/cornelspan_cli/bench.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/bench.py
@@ -14,7 +14,7 @@
 
 @cappa.command(name="bench", help="Run a bench; exit 1 when one of its bounds fails.")
 @dataclass(frozen=True)
-class Bench:
+class BenchCommand:
     """Run a bench, print its tables and end with one line of JSON.
 
     Example: cornelspan bench path --seed 7
--- a/packages/cornelspan-cli/src/cornelspan_cli/check.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/check.py
@@ -7,7 +7,7 @@
 import cappa
 import msgspec
 
-from cornelspan_cli._output import Exit, fail, show_json
+from cornelspan_cli._output import ExitCode, fail, show_json
 from cornelspan_control.changes import Invalid
 from cornelspan_control.profiles import Profile, Service
 
@@ -38,4 +38,4 @@
             show_json({"kind": kind, "value": checked})
         else:
             print(f"{self.file}: good {kind} {checked.name}")
-        return Exit.DONE
+        return ExitCode.SUCCESS
--- a/packages/cornelspan-cli/src/cornelspan_cli/demo.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/demo.py
@@ -12,7 +12,7 @@
 
 @cappa.command(name="demo", help="Run a whole deployment on loopback under load.")
 @dataclass(frozen=True)
-class Demo:
+class DemoCommand:
     """Run the demo; exit 1 if a flow broke or a promise did not hold.
 
     Example: cornelspan demo --deployment mezvarti --seed 7
--- a/packages/cornelspan-cli/src/cornelspan_cli/main.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/main.py
@@ -5,9 +5,9 @@
 
 import cappa
 
-from cornelspan_cli.bench import Bench
+from cornelspan_cli.bench import BenchCommand
 from cornelspan_cli.check import CheckCommand
-from cornelspan_cli.demo import Demo
+from cornelspan_cli.demo import DemoCommand
 from cornelspan_cli.experiment import ExperimentCommand
 from cornelspan_cli.profiles import ProfileCommand
 from cornelspan_cli.report import ReportCommand
@@ -19,7 +19,7 @@
 
 @cappa.command(name="cornelspan", help="The operators' client of cornelspan.")
 @dataclass(frozen=True)
-class Root:
+class CornelspanCommand:
     """The operators' commands."""
 
     command: cappa.Subcommands[
@@ -28,8 +28,8 @@
         | StatusCommand
         | ReportCommand
         | CheckCommand
-        | Demo
-        | Bench
+        | DemoCommand
+        | BenchCommand
         | ExperimentCommand
         | ScenarioCommand
         | SoakCommand
@@ -38,4 +38,4 @@
 
 def main() -> None:
     """Entry point of the ``cornelspan`` binary."""
-    sys.exit(cappa.invoke(Root))
+    sys.exit(cappa.invoke(CornelspanCommand))
--- a/packages/cornelspan-cli/src/cornelspan_cli/profiles.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/profiles.py
@@ -8,7 +8,13 @@
 import cappa
 from result import Err, Ok, Result
 
-from cornelspan_cli._client import Changing, Common, Session, author_of, make
+from cornelspan_cli._client import (
+    ChangeCommand,
+    OperatorCommand,
+    Session,
+    change_author,
+    submit_change,
+)
 from cornelspan_cli._fields import (
     changed_fields,
     fields_of,
@@ -16,7 +22,7 @@
     read_profile,
     set_fields,
 )
-from cornelspan_cli._output import Exit, fail, show_json, show_table
+from cornelspan_cli._output import ExitCode, fail, show_json, show_table
 from cornelspan_control.changes import Invalid, NotFound, new_change
 from cornelspan_control.configuration_reader import (
     CurrentVersion,
@@ -33,13 +39,13 @@
 
 @cappa.command(name="list", help="List the profiles and the services that use them.")
 @dataclass(frozen=True, kw_only=True)
-class ListProfiles(Common):
+class ListProfiles(OperatorCommand):
     """List profiles.
 
     Example: cornelspan profile list --json
     """
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Print what is accepted."""
         match await read_snapshot(session.client):
             case Err(error):
@@ -48,7 +54,7 @@
                 pass
         if self.json:
             show_json(snapshot.profiles)
-            return Exit.DONE
+            return ExitCode.SUCCESS
         users: dict[str, list[str]] = {}
         for service in snapshot.services:
             users.setdefault(service.profile, []).append(service.name)
@@ -58,12 +64,12 @@
         ]
         title = f"Profiles at revision {snapshot.revision}"
         show_table(title, ("name", "kind", "priority", "used by"), rows)
-        return Exit.DONE
+        return ExitCode.SUCCESS
 
 
 @cappa.command(name="show", help="Show a profile, each field with its path.")
 @dataclass(frozen=True, kw_only=True)
-class ShowProfile(Common):
+class ShowProfile(OperatorCommand):
     """Show a profile.
 
     Example: cornelspan profile show orders
@@ -71,7 +77,7 @@
 
     name: Name
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Print the version in force."""
         match await _in_force(session, self.name):
             case Err(error):
@@ -80,15 +86,15 @@
                 version = seen.version
         if self.json:
             show_json({"version": version.change, "profile": version.profile})
-            return Exit.DONE
+            return ExitCode.SUCCESS
         title = f"Profile {self.name}, version {version.change} by {version.author}"
         show_table(title, ("field", "value"), fields_of(version.profile))
-        return Exit.DONE
+        return ExitCode.SUCCESS
 
 
 @cappa.command(name="edit", help="Create or replace a profile from a JSON file.")
 @dataclass(frozen=True, kw_only=True)
-class EditProfile(Changing):
+class EditProfile(ChangeCommand):
     """Create or replace a profile.
 
     Example: cornelspan profile edit orders --file orders.json --base 3f2a
@@ -100,7 +106,7 @@
         str, cappa.Arg(long="--base", help="Version that the edit started from.")
     ] = ""
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Have the file's content accepted."""
         match read_profile(self.file, self.name):
             case Err(error):
@@ -116,7 +122,7 @@
 
 @cappa.command(name="set", help="Change single fields of a profile.")
 @dataclass(frozen=True, kw_only=True)
-class SetProfile(Changing):
+class SetProfile(ChangeCommand):
     """Change fields of a profile by their paths.
 
     Example: cornelspan profile set orders priority=1 requests.queue=128 --wait
@@ -125,7 +131,7 @@
     name: Name
     fields: Annotated[list[str], cappa.Arg(help="PATH=VALUE, one or more.")]
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Have the changed profile accepted."""
         match await _in_force(session, self.name):
             case Err(error):
@@ -141,7 +147,7 @@
 
 @cappa.command(name="diff", help="Compare a profile with an earlier version.")
 @dataclass(frozen=True, kw_only=True)
-class DiffProfile(Common):
+class DiffProfile(OperatorCommand):
     """Compare versions; the one before the newest by default.
 
     Example: cornelspan profile diff orders 3f2a90
@@ -150,7 +156,7 @@
     name: Name
     version: Annotated[str, cappa.Arg(help="Version to compare with.")] = ""
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Print the changed fields."""
         match await _in_force(session, self.name):
             case Err(error):
@@ -166,17 +172,17 @@
         if self.json:
             changed = {"from": older.change, "to": newest.change}
             show_json({**changed, "changed": changed_fields(older, newest)})
-            return Exit.DONE
+            return ExitCode.SUCCESS
         for line in unified_diff(
             before, after, older.change, newest.change, lineterm="", n=0
         ):
             print(line)
-        return Exit.DONE
+        return ExitCode.SUCCESS
 
 
 @cappa.command(name="history", help="List the versions of a profile, newest first.")
 @dataclass(frozen=True, kw_only=True)
-class ProfileHistory(Common):
+class ProfileHistory(OperatorCommand):
     """List versions.
 
     Example: cornelspan profile history orders
@@ -185,7 +191,7 @@
     name: Name
     limit: Annotated[int, cappa.Arg(long="--limit", help="How many.")] = 20
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Print who changed it when."""
         limit = min(self.limit, HISTORY_LIMIT)
         match await read_history(session.client, "profiles", self.name, limit=limit):
@@ -197,15 +203,15 @@
                 pass
         if self.json:
             show_json(versions)
-            return Exit.DONE
+            return ExitCode.SUCCESS
         rows = [(v.change, _moment(v.at), v.author) for v in versions]
         show_table(f"Versions of {self.name}", ("version", "at", "by"), rows)
-        return Exit.DONE
+        return ExitCode.SUCCESS
 
 
 @cappa.command(name="revert", help="Bring back an earlier version as a new change.")
 @dataclass(frozen=True, kw_only=True)
-class RevertProfile(Changing):
+class RevertProfile(ChangeCommand):
     """Bring back a version.
 
     Example: cornelspan profile revert orders 3f2a90
@@ -214,7 +220,7 @@
     name: Name
     version: Annotated[str, cappa.Arg(help="Version to bring back.")]
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Have the older content accepted anew."""
         match await _in_force(session, self.name):
             case Err(error):
@@ -230,7 +236,7 @@
 
 @cappa.command(name="delete", help="Delete a profile that no service uses.")
 @dataclass(frozen=True, kw_only=True)
-class DeleteProfile(Changing):
+class DeleteProfile(ChangeCommand):
     """Delete a profile.
 
     Example: cornelspan profile delete documents
@@ -238,7 +244,7 @@
 
     name: Name
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Have the deletion accepted."""
         match await _in_force(session, self.name):
             case Err(error):
@@ -284,7 +290,7 @@
 
 async def _change(
     session: Session,
-    options: Changing,
+    options: ChangeCommand,
     seen: CurrentVersion,
     profile: Profile | None,
     *,
@@ -294,11 +300,11 @@
         "profiles",
         options.name,
         profile,
-        author=author_of(options),
+        author=change_author(options),
         base=base or seen.base,
         min_version=seen.min_version,
     )
-    return await make(session, options, change)
+    return await submit_change(session, options, change)
 
 
 def _moment(at: float) -> str:
--- a/packages/cornelspan-cli/src/cornelspan_cli/report.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/report.py
@@ -11,8 +11,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from cornelspan_cli._client import Common, Session, run
-from cornelspan_cli._output import Exit, fail, show_json
+from cornelspan_cli._client import OperatorCommand, Session, run_command
+from cornelspan_cli._output import ExitCode, fail, show_json
 from cornelspan_cli.report_page import render_page
 from cornelspan_common.logs import get_log, start_logging
 from cornelspan_common.service_levels import MINUTE_SECONDS
@@ -43,7 +43,7 @@
 
 @cappa.command(name="report", help="Show service-level burn; exit 7 with an alert.")
 @dataclass(frozen=True, kw_only=True)
-class ReportCommand(Common):
+class ReportCommand(OperatorCommand):
     """Show how fast each service uses up the failures its objective allows.
 
     Example: cornelspan report --html burn.html
@@ -56,9 +56,9 @@
     def __call__(self) -> int:
         """Run the command."""
         start_logging(LogSettings(level="WARNING"), process="report")
-        return run(self, self.work)
+        return run_command(self, self.execute)
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Read the summaries and show them; alerts go to the log too."""
         match await fetch_report(session.client):
             case Err(error):
@@ -72,7 +72,7 @@
         else:
             show_report(report, Console())
         log_alerts(report)
-        return Exit.ALERT if report.alerts else Exit.DONE
+        return ExitCode.ALERT if report.alerts else ExitCode.SUCCESS
 
 
 async def fetch_report(client: StoreClient) -> Result[Report, StoreError]:
--- a/packages/cornelspan-cli/src/cornelspan_cli/scenario.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/scenario.py
@@ -18,7 +18,7 @@
 
 @cappa.command(name="run", help="Run scenarios; exit 1 when one fails.")
 @dataclass(frozen=True)
-class Run:
+class RunScenarios:
     """Run scenario files, or all of a directory, one after another.
 
     Example: cornelspan scenario run scenarios --seed 3
@@ -65,4 +65,4 @@
 class ScenarioCommand:
     """Commands on scenarios."""
 
-    command: cappa.Subcommands[Run]
+    command: cappa.Subcommands[RunScenarios]
--- a/packages/cornelspan-cli/src/cornelspan_cli/services.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/services.py
@@ -7,8 +7,14 @@
 import msgspec
 from result import Err, Ok, Result
 
-from cornelspan_cli._client import Changing, Common, Session, author_of, make
-from cornelspan_cli._output import Exit, fail, show_json, show_table
+from cornelspan_cli._client import (
+    ChangeCommand,
+    OperatorCommand,
+    Session,
+    change_author,
+    submit_change,
+)
+from cornelspan_cli._output import ExitCode, fail, show_json, show_table
 from cornelspan_control.changes import Invalid, NotFound, new_change
 from cornelspan_control.configuration_reader import (
     CurrentVersion,
@@ -23,13 +29,13 @@
 
 @cappa.command(name="list", help="List the services.")
 @dataclass(frozen=True, kw_only=True)
-class ListServices(Common):
+class ListServices(OperatorCommand):
     """List services.
 
     Example: cornelspan service list
     """
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Print what is accepted."""
         match await read_snapshot(session.client):
             case Err(error):
@@ -38,17 +44,17 @@
                 pass
         if self.json:
             show_json(snapshot.services)
-            return Exit.DONE
+            return ExitCode.SUCCESS
         services = sorted(snapshot.services, key=lambda each: each.name)
         rows = [(each.name, each.address, each.profile) for each in services]
         title = f"Services at revision {snapshot.revision}"
         show_table(title, ("name", "address", "profile"), rows)
-        return Exit.DONE
+        return ExitCode.SUCCESS
 
 
 @cappa.command(name="show", help="Show a service.")
 @dataclass(frozen=True, kw_only=True)
-class ShowService(Common):
+class ShowService(OperatorCommand):
     """Show a service.
 
     Example: cornelspan service show order-hub --json
@@ -56,7 +62,7 @@
 
     name: ServiceName
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Print the version in force."""
         match await _in_force(session, self.name):
             case Err(error):
@@ -65,16 +71,16 @@
                 version = seen.version
         if self.json:
             show_json({"version": version.change, "service": version.service})
-            return Exit.DONE
+            return ExitCode.SUCCESS
         rows = list(msgspec.to_builtins(version.service).items())
         title = f"Service {self.name}, version {version.change} by {version.author}"
         show_table(title, ("field", "value"), rows)
-        return Exit.DONE
+        return ExitCode.SUCCESS
 
 
 @cappa.command(name="use", help="Have a service run under another profile.")
 @dataclass(frozen=True, kw_only=True)
-class UseProfile(Changing):
+class UseProfile(ChangeCommand):
     """Choose the profile of a service.
 
     Example: cornelspan service use order-hub orders --wait
@@ -83,7 +89,7 @@
     name: ServiceName
     profile: ProfileName
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Have the choice accepted."""
         match await _in_force(session, self.name):
             case Err(error):
@@ -95,16 +101,16 @@
             "services",
             self.name,
             service,
-            author=author_of(self),
+            author=change_author(self),
             base=seen.base,
             min_version=seen.min_version,
         )
-        return await make(session, self, change)
+        return await submit_change(session, self, change)
 
 
 @cappa.command(name="create", help="Create a service; its address never changes.")
 @dataclass(frozen=True, kw_only=True)
-class CreateService(Changing):
+class CreateService(ChangeCommand):
     """Create a service.
 
     Example: cornelspan service create order-hub 10.0.0.1:443 orders
@@ -114,7 +120,7 @@
     address: Annotated[str, cappa.Arg(help="IP:PORT that callers use.")]
     profile: ProfileName
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Have the new service accepted."""
         values = {"name": self.name, "address": self.address, "profile": self.profile}
         try:
@@ -122,9 +128,9 @@
         except msgspec.ValidationError as error:
             return fail(Invalid(str(error)))
         change = new_change(
-            "services", self.name, service, author=author_of(self), base=""
+            "services", self.name, service, author=change_author(self), base=""
         )
-        return await make(session, self, change)
+        return await submit_change(session, self, change)
 
 
 @cappa.command(name="service", help="Services: addresses, and the profile of each.")
--- a/packages/cornelspan-cli/src/cornelspan_cli/status.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/status.py
@@ -5,8 +5,8 @@
 import cappa
 from result import Err, Ok
 
-from cornelspan_cli._client import Common, Session
-from cornelspan_cli._output import Exit, fail, show_json, show_table
+from cornelspan_cli._client import OperatorCommand, Session
+from cornelspan_cli._output import ExitCode, fail, show_json, show_table
 from cornelspan_common.control import MemberStatus
 from cornelspan_control.fleet_status import FleetStatus, read_fleet_status
 from cornelspan_control.records import read_head
@@ -16,13 +16,13 @@
 
 @cappa.command(name="status", help="Show the revision and state of each daemon.")
 @dataclass(frozen=True, kw_only=True)
-class StatusCommand(Common):
+class StatusCommand(OperatorCommand):
     """Show the fleet; exit 6 if a daemon is behind the accepted revision.
 
     Example: cornelspan status --json
     """
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Ask the relays, and print what they know."""
         fleet = await read_fleet_status(
             session.client, session.settings, name="cornelspan"
@@ -41,7 +41,7 @@
             _print_json(fleet, accepted, warnings)
         else:
             _print_table(fleet, accepted, warnings)
-        return Exit.NOT_IN_FORCE if behind else Exit.DONE
+        return ExitCode.NOT_IN_FORCE if behind else ExitCode.SUCCESS
 
 
 def _print_json(fleet: FleetStatus, accepted: int, warnings: list[str]) -> None:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -7,8 +7,8 @@
 import pytest
 
 from control_fleet import Fleet
-from cornelspan_cli._output import Exit
-from cornelspan_cli.main import Root
+from cornelspan_cli._output import ExitCode
+from cornelspan_cli.main import CornelspanCommand
 from cornelspan_common.settings import Address
 from cornelspan_standins.objects import Rates, object_store
 
@@ -42,7 +42,7 @@
 
     async def run(*arguments):
         def invoke():
-            return cappa.invoke(Root, argv=list(arguments))
+            return cappa.invoke(CornelspanCommand, argv=list(arguments))
 
         code = await asyncio.to_thread(invoke)
         printed = capsys.readouterr()
@@ -55,7 +55,7 @@
     file = tmp_path / "orders.json"
     file.write_text(json.dumps({"name": "orders", "priority": 0}))
     code, _ = await operate("profile", "edit", "orders", "--file", str(file))
-    assert code == Exit.DONE
+    assert code == ExitCode.SUCCESS
 
 
 async def test_profile_is_created_changed_compared_and_reverted(
@@ -65,7 +65,7 @@
     code, _ = await operate(
         "profile", "set", "orders", "priority=3", "requests.queue=128"
     )
-    assert code == Exit.DONE
+    assert code == ExitCode.SUCCESS
     _, shown = await operate("profile", "show", "orders", "--json")
     assert json.loads(shown)["profile"]["requests"]["queue"] == 128
     _, changed = await operate("profile", "diff", "orders", "--json")
@@ -75,7 +75,7 @@
     }
     _, listed = await operate("profile", "history", "orders", "--json")
     first = json.loads(listed)[-1]["change"]
-    assert (await operate("profile", "revert", "orders", first))[0] == Exit.DONE
+    assert (await operate("profile", "revert", "orders", first))[0] == ExitCode.SUCCESS
     _, table = await operate("profile", "show", "orders")
     assert "requests.queue" in table and "64" in table
 
@@ -83,17 +83,25 @@
 @pytest.mark.parametrize(
     ("arguments", "code", "reason"),
     [
-        (("profile", "set", "orders", "priority=12"), Exit.REFUSED, "$.priority"),
-        (("profile", "set", "orders", "colour=red"), Exit.REFUSED, "colour=red"),
-        (("profile", "delete", "orders"), Exit.REFUSED, "in use by order-hub"),
-        (("profile", "show", "none"), Exit.REFUSED, "no profile named none"),
-        (("service", "use", "order-hub", "none"), Exit.REFUSED, "no profile named"),
+        (("profile", "set", "orders", "priority=12"), ExitCode.REJECTED, "$.priority"),
+        (("profile", "set", "orders", "colour=red"), ExitCode.REJECTED, "colour=red"),
+        (("profile", "delete", "orders"), ExitCode.REJECTED, "in use by order-hub"),
+        (("profile", "show", "none"), ExitCode.REJECTED, "no profile named none"),
+        (
+            ("service", "use", "order-hub", "none"),
+            ExitCode.REJECTED,
+            "no profile named",
+        ),
         (
             ("service", "create", "twin", "10.0.0.1:80", "orders"),
-            Exit.REFUSED,
+            ExitCode.REJECTED,
             "belongs to service order-hub",
         ),
-        (("service", "create", "x", "nowhere", "orders"), Exit.REFUSED, "$.address"),
+        (
+            ("service", "create", "x", "nowhere", "orders"),
+            ExitCode.REJECTED,
+            "$.address",
+        ),
     ],
 )
 async def test_refusals_name_the_reason(
@@ -119,14 +127,14 @@
     code, printed = await operate(
         "profile", "edit", "orders", "--file", file, "--base", base
     )
-    assert code == Exit.CONFLICT
+    assert code == ExitCode.CONFLICT
     assert "janis" in printed and '"priority":7' in printed
 
 
 async def test_wait_and_status_see_every_daemon(fleet, operate, tmp_path):
     await create_orders(operate, tmp_path)
     code, printed = await operate("profile", "set", "orders", "priority=1", "--wait")
-    assert code == Exit.DONE, printed
+    assert code == ExitCode.SUCCESS, printed
     assert "in force on 3 daemons" in printed
     code, printed = await operate("status", "--json")
     status = json.loads(printed)
@@ -137,7 +145,7 @@
 
 async def test_unreachable_store_has_its_own_code(operate):
     code, printed = await operate("profile", "list")
-    assert code == Exit.STORE
+    assert code == ExitCode.STORE_ERROR
     assert "store" in printed
 
 
@@ -145,6 +153,6 @@
     file = tmp_path / "p.json"
     file.write_text('{"name": "orders", "idle_seconds": -1}')
     code, printed = await operate("check", str(file))
-    assert (code, "$.idle_seconds" in printed) == (Exit.REFUSED, True)
+    assert (code, "$.idle_seconds" in printed) == (ExitCode.REJECTED, True)
     file.write_text('{"name": "orders"}')
-    assert (await operate("check", str(file)))[0] == Exit.DONE
+    assert (await operate("check", str(file)))[0] == ExitCode.SUCCESS
