--- a/packages/cornelspan-cli/src/cornelspan_cli/_fields.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/_fields.py
@@ -22,27 +22,27 @@
     """
     values = msgspec.to_builtins(profile)
     for field in fields:
-        path, equals, text = field.partition("=")
+        path, separator, text = field.partition("=")
         *parents, last = path.split(".")
-        inner: Any = values
+        container: Any = values
         for parent in parents:
-            inner = inner.get(parent) if isinstance(inner, dict) else None
-        if not equals or not isinstance(inner, dict) or last not in inner:
+            container = container.get(parent) if isinstance(container, dict) else None
+        if not separator or not isinstance(container, dict) or last not in container:
             return Err(Invalid(f"{field}: not PATH=VALUE of a field of the profile"))
-        inner[last] = _value(text)
+        container[last] = _parse_value(text)
     if values["name"] != profile.name:
         return Err(Invalid("the name of a profile never changes"))
-    return _converted(values)
+    return _to_profile(values)
 
 
-def _value(text: str) -> Any:
+def _parse_value(text: str) -> Any:
     try:
         return msgspec.json.decode(text.encode())
     except msgspec.DecodeError:
         return text
 
 
-def _converted(values: Any) -> Result[Profile, Invalid]:
+def _to_profile(values: Any) -> Result[Profile, Invalid]:
     try:
         return Ok(msgspec.convert(values, Profile))
     except msgspec.ValidationError as error:
@@ -60,10 +60,10 @@
         return Err(Invalid(f"{file}: {error}"))
     if not isinstance(values, dict) or values.get("name", name) != name:
         return Err(Invalid(f"{file}: not a profile named {name}"))
-    return _converted({**values, "name": name})
+    return _to_profile({**values, "name": name})
 
 
-def fields_of(profile: Profile) -> list[tuple[str, object]]:
+def profile_fields(profile: Profile) -> list[tuple[str, object]]:
     """Return the fields of a profile by path."""
     rows: list[tuple[str, object]] = []
     for name, value in msgspec.to_builtins(profile).items():
@@ -74,12 +74,15 @@
     return rows
 
 
-def lines_of(profile: Profile) -> list[str]:
+def profile_lines(profile: Profile) -> list[str]:
     """Return one line of text for each field."""
-    return [f"{path} = {value}" for path, value in fields_of(profile)]
+    return [f"{path} = {value}" for path, value in profile_fields(profile)]
 
 
 def changed_fields(older: Version, newest: Version) -> dict[str, list[object]]:
     """Return the fields that differ, each with its old and new value."""
-    before, after = dict(fields_of(older.profile)), dict(fields_of(newest.profile))
+    before, after = (
+        dict(profile_fields(older.profile)),
+        dict(profile_fields(newest.profile)),
+    )
     return {p: [before[p], after[p]] for p in after if before[p] != after[p]}
--- a/packages/cornelspan-cli/src/cornelspan_cli/_output.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/_output.py
@@ -49,8 +49,8 @@
     """Say on standard error what went wrong, and return the exit code for it."""
     print(f"cornelspan: {error}", file=sys.stderr)
     if isinstance(error, Conflict) and error.current is not None:
-        theirs = error.current.profile or error.current.service
-        text = msgspec.json.encode(theirs).decode()
+        current = error.current.profile or error.current.service
+        text = msgspec.json.encode(current).decode()
         print(f"in force, version {error.current.change}: {text}", file=sys.stderr)
     return exit_code(error)
 
--- a/packages/cornelspan-cli/src/cornelspan_cli/experiment.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/experiment.py
@@ -38,19 +38,19 @@
         try:
             from cornelspan_standins import experiment_plan, experiment_sweep
         except ImportError:
-            return _refuse(NOT_INSTALLED)
+            return _fail_usage(NOT_INSTALLED)
         if self.seeds < 1:
-            return _refuse("--seeds must be at least 1")
+            return _fail_usage("--seeds must be at least 1")
         match load_settings(str(self.file), experiment_plan.ExperimentPlan):
             case Ok(plan):
                 pass
             case Err(error):
-                return _refuse(error)
+                return _fail_usage(error)
         match experiment_sweep.vary(plan, self.vary):
             case Ok(variants):
                 pass
             case Err(error):
-                return _refuse(error)
+                return _fail_usage(error)
         # The daemons' own lines, thousands a second of virtual time.
         logging.disable(logging.CRITICAL)
         runs = list(experiment_sweep.run_variants(variants, self.seeds))
@@ -62,6 +62,6 @@
         return 0
 
 
-def _refuse(reason: object) -> int:
+def _fail_usage(reason: object) -> int:
     print(f"cornelspan: {reason}", file=sys.stderr)
     return 2
--- a/packages/cornelspan-cli/src/cornelspan_cli/profiles.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/profiles.py
@@ -17,8 +17,8 @@
 )
 from cornelspan_cli._fields import (
     changed_fields,
-    fields_of,
-    lines_of,
+    profile_fields,
+    profile_lines,
     read_profile,
     set_fields,
 )
@@ -34,7 +34,7 @@
 from cornelspan_control.records import Version, read_version
 
 HISTORY_LIMIT = 50
-Name = Annotated[str, cappa.Arg(help="Name of the profile.")]
+ProfileName = Annotated[str, cappa.Arg(help="Name of the profile.")]
 
 
 @cappa.command(name="list", help="List the profiles and the services that use them.")
@@ -75,20 +75,20 @@
     Example: cornelspan profile show orders
     """
 
-    name: Name
+    name: ProfileName
 
     async def execute(self, session: Session) -> int:
         """Print the version in force."""
-        match await _in_force(session, self.name):
+        match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
-            case Ok(seen):
-                version = seen.version
+            case Ok(current):
+                version = current.version
         if self.json:
             show_json({"version": version.change, "profile": version.profile})
             return ExitCode.SUCCESS
         title = f"Profile {self.name}, version {version.change} by {version.author}"
-        show_table(title, ("field", "value"), fields_of(version.profile))
+        show_table(title, ("field", "value"), profile_fields(version.profile))
         return ExitCode.SUCCESS
 
 
@@ -100,7 +100,7 @@
     Example: cornelspan profile edit orders --file orders.json --base 3f2a
     """
 
-    name: Name
+    name: ProfileName
     file: Annotated[str, cappa.Arg(long="--file", help="JSON file, - for stdin.")]
     base: Annotated[
         str, cappa.Arg(long="--base", help="Version that the edit started from.")
@@ -116,8 +116,8 @@
         match await read_current(session.client, "profiles", self.name):
             case Err(error):
                 return fail(error)
-            case Ok(seen):
-                return await _change(session, self, seen, profile, base=self.base)
+            case Ok(current):
+                return await _submit(session, self, current, profile, base=self.base)
 
 
 @cappa.command(name="set", help="Change single fields of a profile.")
@@ -128,21 +128,21 @@
     Example: cornelspan profile set orders priority=1 requests.queue=128 --wait
     """
 
-    name: Name
+    name: ProfileName
     fields: Annotated[list[str], cappa.Arg(help="PATH=VALUE, one or more.")]
 
     async def execute(self, session: Session) -> int:
         """Have the changed profile accepted."""
-        match await _in_force(session, self.name):
+        match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
-            case Ok(seen):
+            case Ok(current):
                 pass
-        match set_fields(seen.version.profile, self.fields):
+        match set_fields(current.version.profile, self.fields):
             case Err(error):
                 return fail(error)
             case Ok(profile):
-                return await _change(session, self, seen, profile)
+                return await _submit(session, self, current, profile)
 
 
 @cappa.command(name="diff", help="Compare a profile with an earlier version.")
@@ -153,22 +153,22 @@
     Example: cornelspan profile diff orders 3f2a90
     """
 
-    name: Name
+    name: ProfileName
     version: Annotated[str, cappa.Arg(help="Version to compare with.")] = ""
 
     async def execute(self, session: Session) -> int:
         """Print the changed fields."""
-        match await _in_force(session, self.name):
+        match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
-            case Ok(seen):
-                newest = seen.version
-        match await _older(session, self.name, newest, self.version):
+            case Ok(current):
+                newest = current.version
+        match await _find_earlier(session, self.name, newest, self.version):
             case Err(error):
                 return fail(error)
             case Ok(older):
                 pass
-        before, after = lines_of(older.profile), lines_of(newest.profile)
+        before, after = profile_lines(older.profile), profile_lines(newest.profile)
         if self.json:
             changed = {"from": older.change, "to": newest.change}
             show_json({**changed, "changed": changed_fields(older, newest)})
@@ -188,7 +188,7 @@
     Example: cornelspan profile history orders
     """
 
-    name: Name
+    name: ProfileName
     limit: Annotated[int, cappa.Arg(long="--limit", help="How many.")] = 20
 
     async def execute(self, session: Session) -> int:
@@ -204,7 +204,7 @@
         if self.json:
             show_json(versions)
             return ExitCode.SUCCESS
-        rows = [(v.change, _moment(v.at), v.author) for v in versions]
+        rows = [(v.change, _format_time(v.at), v.author) for v in versions]
         show_table(f"Versions of {self.name}", ("version", "at", "by"), rows)
         return ExitCode.SUCCESS
 
@@ -217,21 +217,21 @@
     Example: cornelspan profile revert orders 3f2a90
     """
 
-    name: Name
+    name: ProfileName
     version: Annotated[str, cappa.Arg(help="Version to bring back.")]
 
     async def execute(self, session: Session) -> int:
         """Have the older content accepted anew."""
-        match await _in_force(session, self.name):
+        match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
-            case Ok(seen):
+            case Ok(current):
                 pass
-        match await _older(session, self.name, seen.version, self.version):
+        match await _find_earlier(session, self.name, current.version, self.version):
             case Err(error):
                 return fail(error)
             case Ok(older):
-                return await _change(session, self, seen, older.profile)
+                return await _submit(session, self, current, older.profile)
 
 
 @cappa.command(name="delete", help="Delete a profile that no service uses.")
@@ -242,15 +242,15 @@
     Example: cornelspan profile delete documents
     """
 
-    name: Name
+    name: ProfileName
 
     async def execute(self, session: Session) -> int:
         """Have the deletion accepted."""
-        match await _in_force(session, self.name):
+        match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
-            case Ok(seen):
-                return await _change(session, self, seen, None)
+            case Ok(current):
+                return await _submit(session, self, current, None)
 
 
 @cappa.command(name="profile", help="Profiles: how kinds of traffic are treated.")
@@ -270,28 +270,28 @@
     ]
 
 
-async def _in_force(session: Session, name: str) -> Result[CurrentVersion, object]:
+async def _read_existing(session: Session, name: str) -> Result[CurrentVersion, object]:
     match await read_current(session.client, "profiles", name):
         case Ok(CurrentVersion(version=None)):
             return Err(NotFound("profiles", name))
-        case seen:
-            return seen
+        case current:
+            return current
 
 
-async def _older(
-    session: Session, name: str, newest: Version, wanted: str
+async def _find_earlier(
+    session: Session, name: str, newest: Version, prefix: str
 ) -> Result[Version, object]:
     """Return an earlier version, named by its id or the start of it."""
-    found = [each for each in newest.ancestors if each.startswith(wanted)]
-    if not found or (wanted and len(found) > 1):
-        return Err(Invalid(f"{name} has no single earlier version {wanted}".rstrip()))
-    return await read_version(session.client, "profiles", name, found[0])
+    matches = [each for each in newest.ancestors if each.startswith(prefix)]
+    if not matches or (prefix and len(matches) > 1):
+        return Err(Invalid(f"{name} has no single earlier version {prefix}".rstrip()))
+    return await read_version(session.client, "profiles", name, matches[0])
 
 
-async def _change(
+async def _submit(
     session: Session,
     options: ChangeCommand,
-    seen: CurrentVersion,
+    current: CurrentVersion,
     profile: Profile | None,
     *,
     base: str = "",
@@ -301,11 +301,11 @@
         options.name,
         profile,
         author=change_author(options),
-        base=base or seen.base,
-        min_version=seen.min_version,
+        base=base or current.base,
+        min_version=current.min_version,
     )
     return await submit_change(session, options, change)
 
 
-def _moment(at: float) -> str:
+def _format_time(at: float) -> str:
     return datetime.fromtimestamp(at, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
--- a/packages/cornelspan-cli/src/cornelspan_cli/report.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/report.py
@@ -28,7 +28,7 @@
 )
 from cornelspan_control.summaries import read_summaries
 
-LEAST_SHOWN = -9.99
+MIN_DISPLAYED_BUDGET_LEFT = -9.99
 COLUMNS = (
     "service",
     *(window.name for window in WINDOWS),
@@ -83,8 +83,8 @@
         case Ok(summaries):
             pass
     now = int(time.time()) // MINUTE_SECONDS
-    snapshot = await read_snapshot(client)
-    return snapshot.map(lambda found: build_report(summaries, found, now=now))
+    result = await read_snapshot(client)
+    return result.map(lambda snapshot: build_report(summaries, snapshot, now=now))
 
 
 def log_alerts(report: Report) -> None:
@@ -111,21 +111,21 @@
     }
 
 
-def _service_document(each: ServiceReport) -> dict[str, object]:
-    burn = each.burn
-    endless = math.isinf(burn.exhausted_in_days)
+def _service_document(service: ServiceReport) -> dict[str, object]:
+    burn = service.burn
+    never_exhausted = math.isinf(burn.exhausted_in_days)
     return {
         "service": burn.service,
-        "profile": each.profile,
+        "profile": service.profile,
         "objective": burn.objective,
         "burn": burn.rates,
         "requests": burn.requests,
         "budget_left": burn.budget_left,
-        "exhausted_in_days": None if endless else burn.exhausted_in_days,
+        "exhausted_in_days": None if never_exhausted else burn.exhausted_in_days,
         "alerts": burn.alerts,
-        "p50_ms": each.p50_ms,
-        "p99_ms": each.p99_ms,
-        "datacentres": each.datacentres,
+        "p50_ms": service.p50_ms,
+        "p99_ms": service.p99_ms,
+        "datacentres": service.datacentres,
     }
 
 
@@ -143,19 +143,19 @@
         console.print(f"missing: {line}", highlight=False)
 
 
-def _row(each: ServiceReport) -> list[str]:
-    burn = each.burn
+def _row(service: ServiceReport) -> list[str]:
+    burn = service.burn
     return [
         burn.service,
         *(f"{burn.rates[window.name]:.1f}" for window in WINDOWS),
-        f"{max(burn.budget_left, LEAST_SHOWN):.0%}",
-        lasting(burn.exhausted_in_days),
-        f"{each.p99_ms:.0f}",
+        f"{max(burn.budget_left, MIN_DISPLAYED_BUDGET_LEFT):.0%}",
+        format_time_left(burn.exhausted_in_days),
+        f"{service.p99_ms:.0f}",
         "+".join(alert.removesuffix(" burn") for alert in burn.alerts) or "-",
     ]
 
 
-def lasting(days: float) -> str:
+def format_time_left(days: float) -> str:
     """Return a time to exhaustion in words."""
     if math.isinf(days):
         return "ever"
--- a/packages/cornelspan-cli/src/cornelspan_cli/report_page.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/report_page.py
@@ -19,7 +19,7 @@
 
 matplotlib.use("Agg")
 
-SHOWN_HOURS = 72
+PLOTTED_HOURS = 72
 FIGURE_INCHES = (7.0, 2.2)
 DOTS_PER_INCH = 90
 
@@ -37,13 +37,15 @@
     )
 
 
-def burn_plot(each: ServiceReport) -> str:
+def burn_plot(service: ServiceReport) -> str:
     """Return a service's burn rate by hour as a PNG in base64."""
-    hours = each.series.hours[-SHOWN_HOURS:]
+    hours = service.series.hours[-PLOTTED_HOURS:]
     figure = Figure(figsize=FIGURE_INCHES)
     axes = figure.subplots()
     times = [datetime.fromtimestamp(bucket.number * 3600, UTC) for bucket in hours]
-    axes.plot(times, [_rate(bucket, each) for bucket in hours], marker=".")
+    axes.plot(
+        times, [_hourly_burn_rate(bucket, service) for bucket in hours], marker="."
+    )
     for rule in RULES:
         axes.axhline(rule.rate, linestyle="--", linewidth=0.7, label=rule.name)
     axes.set_ylabel("burn rate")
@@ -54,5 +56,5 @@
     return base64.b64encode(image.getvalue()).decode()
 
 
-def _rate(bucket: Bucket, each: ServiceReport) -> float:
-    return burn_rate(Totals(bucket.good, bucket.bad), each.burn.objective)
+def _hourly_burn_rate(bucket: Bucket, service: ServiceReport) -> float:
+    return burn_rate(Totals(bucket.good, bucket.bad), service.burn.objective)
--- a/packages/cornelspan-cli/src/cornelspan_cli/services.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/services.py
@@ -64,11 +64,11 @@
 
     async def execute(self, session: Session) -> int:
         """Print the version in force."""
-        match await _in_force(session, self.name):
+        match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
-            case Ok(seen):
-                version = seen.version
+            case Ok(current):
+                version = current.version
         if self.json:
             show_json({"version": version.change, "service": version.service})
             return ExitCode.SUCCESS
@@ -91,19 +91,19 @@
 
     async def execute(self, session: Session) -> int:
         """Have the choice accepted."""
-        match await _in_force(session, self.name):
+        match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
-            case Ok(seen):
+            case Ok(current):
                 pass
-        service = msgspec.structs.replace(seen.version.service, profile=self.profile)
+        service = msgspec.structs.replace(current.version.service, profile=self.profile)
         change = new_change(
             "services",
             self.name,
             service,
             author=change_author(self),
-            base=seen.base,
-            min_version=seen.min_version,
+            base=current.base,
+            min_version=current.min_version,
         )
         return await submit_change(session, self, change)
 
@@ -141,9 +141,9 @@
     command: cappa.Subcommands[ListServices | ShowService | UseProfile | CreateService]
 
 
-async def _in_force(session: Session, name: str) -> Result[CurrentVersion, object]:
+async def _read_existing(session: Session, name: str) -> Result[CurrentVersion, object]:
     match await read_current(session.client, "services", name):
         case Ok(CurrentVersion(version=None)):
             return Err(NotFound("services", name))
-        case seen:
-            return seen
+        case current:
+            return current
--- a/packages/cornelspan-cli/src/cornelspan_cli/settings_page.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/settings_page.py
@@ -37,7 +37,7 @@
     Profile,
     Service,
 )
-LIMITS = {
+LIMIT_FORMATS = {
     "minimum": "≥ {}",
     "exclusiveMinimum": "> {}",
     "maximum": "≤ {}",
@@ -54,9 +54,9 @@
     _, components = msgspec.json.schema_components(
         TOP_LEVEL, ref_template="#/components/{name}"
     )
-    first = [kind.__name__ for kind in TOP_LEVEL]
-    others = sorted(set(components) - set(first))
-    sections = [_section(name, components[name]) for name in (*first, *others)]
+    top_level = [settings_type.__name__ for settings_type in TOP_LEVEL]
+    others = sorted(set(components) - set(top_level))
+    sections = [_section(name, components[name]) for name in (*top_level, *others)]
     return "\n".join([INTRODUCTION, *sections])
 
 
@@ -73,7 +73,7 @@
 
 def _row(field: str, schema: Schema, required: bool) -> str:
     default = "required" if required else _default(schema)
-    cells = [f"`{field}`", _kind(schema), _limits(schema), default]
+    cells = [f"`{field}`", _type_name(schema), _limits(schema), default]
     return "| " + " | ".join(cell.replace("|", "\\|") for cell in cells) + " |"
 
 
@@ -86,14 +86,14 @@
     return f"`{json.dumps(value, ensure_ascii=False)}`"
 
 
-def _kind(schema: Schema) -> str:
+def _type_name(schema: Schema) -> str:
     """Name a type, with a link where it has a section of its own."""
     if "$ref" in schema:
         return _link(schema["$ref"])
     if "anyOf" in schema:
-        return " or ".join(_kind(part) for part in schema["anyOf"])
+        return " or ".join(_type_name(part) for part in schema["anyOf"])
     if schema.get("type") == "array":
-        return f"list of {_kind(schema['items'])}"
+        return f"list of {_type_name(schema['items'])}"
     return schema.get("type", "string" if "enum" in schema else "any")
 
 
@@ -104,13 +104,13 @@
 
 def _limits(schema: Schema) -> str:
     return ", ".join(
-        text.format(_shown(schema[key]))
-        for key, text in LIMITS.items()
+        text.format(_format_limit(schema[key]))
+        for key, text in LIMIT_FORMATS.items()
         if key in schema
     )
 
 
-def _shown(value: object) -> str:
+def _format_limit(value: object) -> str:
     if isinstance(value, list):
         return ", ".join(f"`{each}`" for each in value)
     return f"{value:g}" if isinstance(value, float) else str(value)
--- a/packages/cornelspan-cli/src/cornelspan_cli/soak.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/soak.py
@@ -47,7 +47,7 @@
             print(NOT_INSTALLED, file=sys.stderr)
             return 2
         start_logging(LogSettings(level="ERROR"), process="soak")
-        is_whole = True
+        all_passed = True
         for seed in range(self.seed, self.seed + self.runs):
             values = {
                 "seed": seed,
@@ -67,5 +67,5 @@
                 folder = self.history / f"seed-{seed}"
                 result = asyncio.run(soak.run_soak(plan, folder))
             soak.show_result(result, Console())
-            is_whole = is_whole and not result.broken
-        return 0 if is_whole else 1
+            all_passed = all_passed and not result.broken
+        return 0 if all_passed else 1
--- a/packages/cornelspan-cli/src/cornelspan_cli/status.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/status.py
@@ -51,9 +51,9 @@
             "role": status.member.role,
             "datacentre": status.member.datacentre,
             "service": status.member.service,
-            "state": _state(status),
+            "state": _member_state(status),
             "revision": status.revision,
-            "behind": _behind(status, accepted),
+            "behind": _revisions_behind(status, accepted),
             "silent_seconds": status.silent_seconds,
         }
         for status in fleet.members()
@@ -68,9 +68,9 @@
             status.member.role,
             status.member.datacentre,
             status.member.service,
-            _state(status),
+            _member_state(status),
             status.revision,
-            _behind(status, accepted),
+            _revisions_behind(status, accepted),
         )
         for status in fleet.members()
     ]
@@ -79,12 +79,12 @@
         print(f"warning: {warning}")
 
 
-def _state(status: MemberStatus) -> str:
+def _member_state(status: MemberStatus) -> str:
     if status.member.leaving:
         return "leaving"
     return "unheard" if status.silent_seconds < 0 else "live"
 
 
-def _behind(status: MemberStatus, accepted: int) -> int:
+def _revisions_behind(status: MemberStatus, accepted: int) -> int:
     """Return by how many revisions a daemon is behind."""
     return max(0, accepted - max(0, status.revision))
--- a/tools/import_diagram.py
+++ b/tools/import_diagram.py
@@ -35,13 +35,13 @@
 def package_imports(names: list[str]) -> list[tuple[str, str, int]]:
     """Return pairs of packages and how many modules of the first import the second."""
     graph = grimp.build_graph(*names, cache_dir=None)
-    counts: dict[tuple[str, str], set[str]] = {}
+    importers: dict[tuple[str, str], set[str]] = {}
     for module in graph.modules:
         for imported in graph.find_modules_directly_imported_by(module):
             pair = (module.split(".")[0], imported.split(".")[0])
             if pair[0] != pair[1]:
-                counts.setdefault(pair, set()).add(module)
-    return [(*pair, len(modules)) for pair, modules in sorted(counts.items())]
+                importers.setdefault(pair, set()).add(module)
+    return [(*pair, len(modules)) for pair, modules in sorted(importers.items())]
 
 
 def import_page() -> str:
