--- a/packages/cornelspan-cli/src/cornelspan_cli/bench.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/bench.py
@@ -38,8 +38,8 @@
             case Err(error):
                 print(error, file=sys.stderr)
                 return 2
-            case Ok(found):
+            case Ok(bench_function):
                 settings = bench.BenchSettings(seed=self.seed, short=self.short)
-        result = asyncio.run(found(settings))
+        result = asyncio.run(bench_function(settings))
         bench.show_result(result, Console())
         return 0 if result.ok else 1
--- a/packages/cornelspan-cli/src/cornelspan_cli/experiment_plot.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/experiment_plot.py
@@ -24,8 +24,8 @@
         windows = windows_of(run.outcomes[0])
         name = run.variant.name or "as planned"
         axes.plot(
-            [each.at for each in windows],
-            [each.worth for each in windows],
+            [window.at for window in windows],
+            [window.worth for window in windows],
             marker=".",
             label=name,
         )
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -78,10 +78,10 @@
     shed orders and feeds alike.
     """
     crowd = replaced(plan, load=2.5)
-    ours = figures_of(play(crowd))
-    theirs = figures_of(play(replaced(crowd, policy=PolicyPlan(order=order))))
-    assert ours.worth > least * theirs.worth
-    assert ours.first >= theirs.first - 0.01
+    figures = figures_of(play(crowd))
+    baseline = figures_of(play(replaced(crowd, policy=PolicyPlan(order=order))))
+    assert figures.worth > least * baseline.worth
+    assert figures.first >= baseline.first - 0.01
 
 
 def test_an_outage_is_over_within_a_second_of_the_power(plan):
@@ -123,11 +123,11 @@
 
     Placed by what runs alone, a slow endpoint looks as good as a sound one.
     """
-    ours = figures_of(play(slow_third))
-    heedless = PolicyPlan(without="paces")
-    theirs = figures_of(play(replaced(slow_third, policy=heedless)))
-    assert ours.first >= 0.98
-    assert ours.first > theirs.first
+    figures = figures_of(play(slow_third))
+    without_latency = PolicyPlan(without="paces")
+    baseline = figures_of(play(replaced(slow_third, policy=without_latency)))
+    assert figures.first >= 0.98
+    assert figures.first > baseline.first
 
 
 def test_no_system_does_better_than_the_ideal_one(plan):
@@ -169,7 +169,7 @@
     assert reason in str(vary(plan, [text]).unwrap_err())
 
 
-def command(*arguments):
+def run_command(*arguments):
     return subprocess.run(
         [str(Path(sys.executable).with_name("cornelspan")), "experiment", *arguments],
         capture_output=True,
@@ -182,9 +182,9 @@
     file = tmp_path / "plan.json"
     file.write_bytes(msgspec.json.encode(replaced(plan, seconds=1.0)))
     plot = tmp_path / "plot.svg"
-    done = command(str(file), "--vary", "load=0.5,1", "--plot", str(plot))
-    assert done.returncode == 0, done.stderr
-    figures = json.loads(done.stdout.splitlines()[-1])
+    completed = run_command(str(file), "--vary", "load=0.5,1", "--plot", str(plot))
+    assert completed.returncode == 0, completed.stderr
+    figures = json.loads(completed.stdout.splitlines()[-1])
     assert [each["load"] for each in figures] == ["0.5", "1"]
     assert plot.read_bytes().startswith(b"<?xml")
 
@@ -192,6 +192,6 @@
 def test_the_command_names_what_is_wrong_with_a_plan(tmp_path):
     file = tmp_path / "plan.json"
     file.write_text('{"services": [], "requests": 3}')
-    done = command(str(file))
-    assert done.returncode == 2
-    assert "$.requests" in done.stderr
+    completed = run_command(str(file))
+    assert completed.returncode == 2
+    assert "$.requests" in completed.stderr
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -15,15 +15,15 @@
 
 @pytest.fixture
 async def store(base_port):
-    here = Address(host="127.0.0.1", port=base_port)
-    async with object_store(here, rates=Rates(100_000, 100_000)) as running:
+    address = Address(host="127.0.0.1", port=base_port)
+    async with object_store(address, rates=Rates(100_000, 100_000)) as running:
         yield running
 
 
 @pytest.fixture
 async def fleet(store, base_port):
-    here = Address(host="127.0.0.1", port=base_port)
-    running = Fleet(here, base_port + 10)
+    address = Address(host="127.0.0.1", port=base_port)
+    running = Fleet(address, base_port + 10)
     for number in range(2):
         await running.start(f"entry-{number}")
     await running.start("hub-0", service="order-hub")
--- a/tests/test_report_command.py
+++ b/tests/test_report_command.py
@@ -15,10 +15,10 @@
 
 def test_report_as_table_json_and_page():
     report = build_report([burning_summary()], SNAPSHOT, now=NOW)
-    out = io.StringIO()
-    show_report(report, Console(file=out, width=80))
-    assert "fast+slow" in out.getvalue()
-    assert "receipt-render" in out.getvalue()
+    output = io.StringIO()
+    show_report(report, Console(file=output, width=80))
+    assert "fast+slow" in output.getvalue()
+    assert "receipt-render" in output.getvalue()
     document = json.loads(msgspec.json.encode(report_document(report)))
     assert document["services"][0]["burn"]["1 h"] > FAST.rate
     assert document["services"][1]["exhausted_in_days"] is None
