--- a/packages/cornelspan-cli/src/cornelspan_cli/__init__.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The cornelspan operators' client."""
+"""The command line client for operators of cornelspan."""
--- a/packages/cornelspan-cli/src/cornelspan_cli/_client.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/_client.py
@@ -1,4 +1,4 @@
-"""What every operator command has: its settings, a store client, and waiting."""
+"""Base classes of the operator commands, and submission of configuration changes."""
 
 import asyncio
 import getpass
@@ -25,17 +25,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OperatorCommand(ABC):
-    """Options of every operator command, and how each is run."""
+    """Base of the commands that connect to the store, with their common options."""
 
     settings: Annotated[
         str,
         cappa.Arg(
             long="--settings",
             default=cappa.Env("CORNELSPAN_SETTINGS", default=DEFAULT_SETTINGS),
-            help="JSON settings of this client.",
+            help="JSON settings file of this client, also set by CORNELSPAN_SETTINGS.",
         ),
     ] = DEFAULT_SETTINGS
-    json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON.")] = False
+    json: Annotated[
+        bool, cappa.Arg(long="--json", help="Print the result as JSON.")
+    ] = False
 
     def __call__(self) -> int:
         """Run the command and return its exit code."""
@@ -43,27 +45,35 @@
 
     @abstractmethod
     async def execute(self, session: "Session") -> int:
-        """Do what the command is for, and return its exit code."""
+        """Run the body of the command and return its exit code."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class ChangeCommand(OperatorCommand):
-    """Options of every command that changes the configuration."""
+    """Base of the commands that change the configuration, with their options."""
 
-    author: Annotated[str, cappa.Arg(long="--author", help="Who makes the change.")] = (
-        ""
-    )
+    author: Annotated[
+        str,
+        cappa.Arg(
+            long="--author",
+            help="Author recorded with the change; by default the login name.",
+        ),
+    ] = ""
     wait: Annotated[
-        bool, cappa.Arg(long="--wait", help="Wait until it is in force everywhere.")
+        bool,
+        cappa.Arg(
+            long="--wait",
+            help="Wait until the change is in force on every daemon, exit 6 if not.",
+        ),
     ] = False
     wait_seconds: Annotated[
-        float, cappa.Arg(long="--wait-seconds", help="How long to wait.")
+        float, cappa.Arg(long="--wait-seconds", help="Timeout of --wait, in seconds.")
     ] = 15.0
 
 
 @dataclass(frozen=True, slots=True)
 class Session:
-    """The store client and settings of one command."""
+    """The store client and the settings that one command runs with."""
 
     client: StoreClient
     settings: ClientSettings
@@ -73,7 +83,11 @@
 
 
 def run_command(options: OperatorCommand, execute: CommandBody) -> int:
-    """Load the settings, run a command's work, and return its exit code."""
+    """Load the settings, run the body of a command and return the exit code.
+
+    Returns:
+        The exit code of the body, or the one for unusable settings or TLS files.
+    """
     match load_settings(options.settings, ClientSettings):
         case Err(error):
             return fail(error)
@@ -97,14 +111,18 @@
 
 
 def change_author(options: ChangeCommand) -> str:
-    """Return the author to record with a change."""
+    """Return the author to record with a change: the option, or the login name."""
     return options.author or getpass.getuser()
 
 
 async def submit_change(
     session: Session, options: ChangeCommand, change: Change
 ) -> int:
-    """Have a change accepted, say so, and wait for it if asked to."""
+    """Submit a change, print its revision, and wait if ``--wait`` is given.
+
+    Returns:
+        The exit code; an error is printed on standard error.
+    """
     match await accept(session.client, change):
         case Err(error):
             return fail(error)
@@ -122,7 +140,10 @@
 async def _wait_until_in_force(
     session: Session, options: ChangeCommand, accepted: AcceptedChange
 ) -> int:
-    """Wait until every live daemon has the revision, or say which has not."""
+    """Wait until the revision is in force on every daemon that a relay knows.
+
+    After the timeout, the names of the daemons that are behind are printed.
+    """
     deadline = time.monotonic() + options.wait_seconds
     revision = accepted.revision
     while True:
@@ -136,6 +157,8 @@
         if time.monotonic() > deadline:
             break
         await asyncio.sleep(POLL_INTERVAL_SECONDS)
-    missing = ", ".join(behind) if fleet.answers else "all, since no relay answers"
+    missing = (
+        ", ".join(behind) if fleet.answers else "all daemons, since no relay answered"
+    )
     fail(f"accepted, but revision {revision} is not yet in force on: {missing}")
     return ExitCode.NOT_IN_FORCE
--- a/packages/cornelspan-cli/src/cornelspan_cli/_fields.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/_fields.py
@@ -1,4 +1,4 @@
-"""Profiles as fields with paths: read, changed, compared."""
+"""Profiles as lists of fields with dotted paths: reading, changing, comparing."""
 
 import sys
 from pathlib import Path
@@ -13,12 +13,15 @@
 
 
 def set_fields(profile: Profile, fields: list[str]) -> Result[Profile, Invalid]:
-    """Return a profile with fields changed.
+    """Return a copy of a profile with some fields changed.
 
     Args:
-        profile: The profile as it is.
-        fields: ``PATH=VALUE`` each; the path's parts are joined by dots, and a value
-            that is no JSON is taken as text.
+        profile: The profile to start from.
+        fields: Assignments of the form ``PATH=VALUE``. The parts of a path are joined
+            by dots. A value that is not valid JSON is taken as a string.
+
+    Returns:
+        The new profile, or why an assignment is invalid.
     """
     values = msgspec.to_builtins(profile)
     for field in fields:
@@ -28,10 +31,14 @@
         for parent in parents:
             container = container.get(parent) if isinstance(container, dict) else None
         if not separator or not isinstance(container, dict) or last not in container:
-            return Err(Invalid(f"{field}: not PATH=VALUE of a field of the profile"))
+            return Err(
+                Invalid(
+                    f"{field}: expected PATH=VALUE with the path of an existing field"
+                )
+            )
         container[last] = _parse_value(text)
     if values["name"] != profile.name:
-        return Err(Invalid("the name of a profile never changes"))
+        return Err(Invalid("the name of a profile can't be changed"))
     return _to_profile(values)
 
 
@@ -50,7 +57,12 @@
 
 
 def read_profile(file: str, name: str) -> Result[Profile, Invalid]:
-    """Read and check a profile from a JSON file, "-" for standard input."""
+    """Read and validate a profile from a JSON file.
+
+    Args:
+        file: Path of the file, "-" for standard input.
+        name: Name of the profile. The file may leave it out, but not name another.
+    """
     try:
         text = sys.stdin.buffer.read() if file == "-" else Path(file).read_bytes()
         values = msgspec.json.decode(text)
@@ -59,12 +71,12 @@
     except msgspec.DecodeError as error:
         return Err(Invalid(f"{file}: {error}"))
     if not isinstance(values, dict) or values.get("name", name) != name:
-        return Err(Invalid(f"{file}: not a profile named {name}"))
+        return Err(Invalid(f"{file}: expected a profile named {name}"))
     return _to_profile({**values, "name": name})
 
 
 def profile_fields(profile: Profile) -> list[tuple[str, object]]:
-    """Return the fields of a profile by path."""
+    """Return the path and value of each field of a profile."""
     rows: list[tuple[str, object]] = []
     for name, value in msgspec.to_builtins(profile).items():
         if isinstance(value, dict):
@@ -75,12 +87,12 @@
 
 
 def profile_lines(profile: Profile) -> list[str]:
-    """Return one line of text for each field."""
+    """Return one line ``PATH = VALUE`` for each field of a profile."""
     return [f"{path} = {value}" for path, value in profile_fields(profile)]
 
 
 def changed_fields(older: Version, newest: Version) -> dict[str, list[object]]:
-    """Return the fields that differ, each with its old and new value."""
+    """Return the paths of the fields that differ, each with old and new value."""
     before, after = (
         dict(profile_fields(older.profile)),
         dict(profile_fields(newest.profile)),
--- a/packages/cornelspan-cli/src/cornelspan_cli/_output.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/_output.py
@@ -1,4 +1,4 @@
-"""Output of the operators' commands, and their exit codes."""
+"""Output and exit codes of the operator commands."""
 
 import sys
 from collections.abc import Iterable
@@ -20,7 +20,7 @@
 
 
 class ExitCode(IntEnum):
-    """Exit codes; documented in docs/OPERATIONS.md."""
+    """Exit codes of the operator commands, documented in docs/OPERATIONS.md."""
 
     SUCCESS = 0
     REJECTED = 1
@@ -33,7 +33,7 @@
 
 
 def show_table(title: str, columns: Iterable[str], rows: Iterable[Iterable]) -> None:
-    """Print a table for people."""
+    """Print a table with a title on standard output."""
     table = Table(*columns, title=title, title_justify="left")
     for row in rows:
         table.add_row(*(str(cell) for cell in row))
@@ -46,7 +46,10 @@
 
 
 def fail(error: object) -> int:
-    """Say on standard error what went wrong, and return the exit code for it."""
+    """Print an error on standard error and return its exit code.
+
+    A conflict is printed with the version in force, so that the operator can merge.
+    """
     print(f"cornelspan: {error}", file=sys.stderr)
     if isinstance(error, Conflict) and error.current is not None:
         current = error.current.profile or error.current.service
--- a/packages/cornelspan-cli/src/cornelspan_cli/bench.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/bench.py
@@ -1,4 +1,4 @@
-"""``cornelspan bench``: run a bench and check its bounds."""
+"""``cornelspan bench``: run a benchmark and check its bounds."""
 
 import asyncio
 import sys
@@ -9,23 +9,32 @@
 from result import Err, Ok
 from rich.console import Console
 
-NOT_INSTALLED = "cornelspan-standins is not installed; benches need it"
+NOT_INSTALLED = "cornelspan-standins is not installed; benchmarks need it"
 
 
-@cappa.command(name="bench", help="Run a bench; exit 1 when one of its bounds fails.")
+@cappa.command(name="bench", help="Run a benchmark; exit 1 if a bound is violated.")
 @dataclass(frozen=True)
 class BenchCommand:
-    """Run a bench, print its tables and end with one line of JSON.
+    """Run a benchmark and print its tables, then one line of JSON.
 
     Example: cornelspan bench path --seed 7
     """
 
-    name: Annotated[str, cappa.Arg(help="Name of the bench, or 'list' for all names.")]
+    name: Annotated[
+        str, cappa.Arg(help="Name of the benchmark, or 'list' for all names.")
+    ]
     seed: Annotated[int, cappa.Arg(long=True, help="Seed of all random choices.")] = 1
-    short: Annotated[bool, cappa.Arg(long=True, help="A short run, as in CI.")] = False
+    short: Annotated[bool, cappa.Arg(long=True, help="Do a short run, as in CI.")] = (
+        False
+    )
 
     def __call__(self) -> int:
-        """Run the bench and return the exit code."""
+        """Run the benchmark and return the exit code.
+
+        Returns:
+            0, 1 if a bound is violated, or 2 if the benchmark is unknown or
+            cornelspan-standins is not installed.
+        """
         try:
             from cornelspan_standins import bench
         except ImportError:
--- a/packages/cornelspan-cli/src/cornelspan_cli/check.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/check.py
@@ -12,19 +12,23 @@
 from cornelspan_control.profiles import Profile, Service
 
 
-@cappa.command(name="check", help="Validate a JSON file of a profile or service.")
+@cappa.command(name="check", help="Validate the JSON file of a profile or service.")
 @dataclass(frozen=True, kw_only=True)
 class CheckCommand:
-    """Validate a file; exit 1 with the first field at fault.
+    """Validate a file; exit 1 and print the path of the first invalid field.
 
     Example: cornelspan check orders.json
     """
 
-    file: Annotated[str, cappa.Arg(help="JSON file.")]
-    json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON.")] = False
+    file: Annotated[
+        str, cappa.Arg(help="JSON file; one with an address is taken as a service.")
+    ]
+    json: Annotated[
+        bool, cappa.Arg(long="--json", help="Print the result as JSON.")
+    ] = False
 
     def __call__(self) -> int:
-        """Check the file; nothing else is read or written."""
+        """Validate the file without settings or a store, and return the exit code."""
         try:
             values = msgspec.json.decode(Path(self.file).read_bytes())
             service = isinstance(values, dict) and "address" in values
@@ -37,5 +41,5 @@
         if self.json:
             show_json({"kind": kind, "value": checked})
         else:
-            print(f"{self.file}: good {kind} {checked.name}")
+            print(f"{self.file}: valid {kind} {checked.name}")
         return ExitCode.SUCCESS
--- a/packages/cornelspan-cli/src/cornelspan_cli/demo.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/demo.py
@@ -1,4 +1,4 @@
-"""``cornelspan demo``: the whole path on loopback, with changes while it runs."""
+"""``cornelspan demo``: a deployment on loopback that changes under load."""
 
 import asyncio
 import sys
@@ -10,22 +10,24 @@
 NOT_INSTALLED = "cornelspan-standins is not installed; the demo needs it"
 
 
-@cappa.command(name="demo", help="Run a whole deployment on loopback under load.")
+@cappa.command(name="demo", help="Run a deployment on loopback under load.")
 @dataclass(frozen=True)
 class DemoCommand:
-    """Run the demo; exit 1 if a flow broke or a promise did not hold.
+    """Run the demo; exit 1 if a flow broke or a guarantee was violated.
 
     Example: cornelspan demo --deployment mezvarti --seed 7
     """
 
     deployment: Annotated[
         Literal["shirakaba", "mezvarti"],
-        cappa.Arg(long=True, help="Whose places and services to run."),
+        cappa.Arg(long=True, help="Which deployment to run."),
     ] = "shirakaba"
     seed: Annotated[int, cappa.Arg(long=True, help="Seed of all random choices.")] = 1
-    seconds: Annotated[float, cappa.Arg(long=True, help="How long load runs.")] = 24.0
+    seconds: Annotated[
+        float, cappa.Arg(long=True, help="How long new flows are opened, in seconds.")
+    ] = 24.0
     port: Annotated[
-        int, cappa.Arg(long=True, help="First port; 0 takes free ones.")
+        int, cappa.Arg(long=True, help="First port; 0 picks a block of free ports.")
     ] = 0
 
     def __call__(self) -> int:
--- a/packages/cornelspan-cli/src/cornelspan_cli/experiment.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/experiment.py
@@ -1,4 +1,4 @@
-"""``cornelspan experiment``: play a modelled deployment and compare policies."""
+"""``cornelspan experiment``: simulate a deployment and compare policies."""
 
 import logging
 import sys
@@ -15,26 +15,38 @@
 NOT_INSTALLED = "cornelspan-standins is not installed; experiments need it"
 
 
-@cappa.command(name="experiment", help="Play a modelled deployment in virtual time.")
+@cappa.command(name="experiment", help="Simulate a deployment in virtual time.")
 @dataclass(frozen=True)
 class ExperimentCommand:
-    """Play a plan with the real decisions, print a table and one line of JSON.
+    """Simulate a plan with the daemons' own decision code, and print the figures.
+
+    The output is a table and then one line of JSON.
 
     Example: cornelspan experiment experiments/kiosk.json --vary load=1,1.5,2
     """
 
-    file: Annotated[Path, cappa.Arg(help="The plan, a JSON file.")]
+    file: Annotated[Path, cappa.Arg(help="Plan of the experiment, a JSON file.")]
     vary: Annotated[
         list[str],
-        cappa.Arg(long=True, help="PATH=VALUE,VALUE; several give all combinations."),
+        cappa.Arg(
+            long=True,
+            help="Values for a setting of the plan, PATH=VALUE,VALUE. "
+            "If repeated, all combinations are run.",
+        ),
     ] = field(default_factory=list)
-    seeds: Annotated[int, cappa.Arg(long=True, help="How many seeds to play.")] = 1
+    seeds: Annotated[
+        int, cappa.Arg(long=True, help="Number of seeds for each variant.")
+    ] = 1
     plot: Annotated[
-        Path | None, cappa.Arg(long=True, help="Write a plot over time to this file.")
+        Path | None,
+        cappa.Arg(
+            long=True,
+            help="Write a plot over time to this file; its suffix selects the format.",
+        ),
     ] = None
 
     def __call__(self) -> int:
-        """Run all variants; exit 2 for a plan or a variation that is no good."""
+        """Run all variants and return 0, or 2 for an invalid plan or variation."""
         try:
             from cornelspan_standins import experiment_plan, experiment_sweep
         except ImportError:
@@ -51,7 +63,7 @@
                 pass
             case Err(error):
                 return _fail_usage(error)
-        # The daemons' own lines, thousands a second of virtual time.
+        # The simulated daemons would log thousands of lines per virtual second.
         logging.disable(logging.CRITICAL)
         runs = list(experiment_sweep.run_variants(variants, self.seeds))
         experiment_sweep.show_runs(runs, Console())
--- a/packages/cornelspan-cli/src/cornelspan_cli/experiment_plot.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/experiment_plot.py
@@ -1,4 +1,4 @@
-"""The plot of an experiment: what was earned over time, a line for each variant."""
+"""The plot of an experiment: share of worth earned over time, by variant."""
 
 from pathlib import Path
 from typing import TYPE_CHECKING
@@ -15,7 +15,11 @@
 
 
 def write_plot(runs: "list[VariantRun]", file: Path) -> None:
-    """Write the worth of each window, of the first seed, in the file's own format."""
+    """Plot the worth of each window, a line for each variant, and write it to a file.
+
+    Only the first seed of a variant is plotted. The suffix of the file name selects the
+    format.
+    """
     from cornelspan_standins.experiment_figures import windows_of
 
     figure = Figure(figsize=FIGURE_INCHES)
@@ -30,6 +34,6 @@
             label=name,
         )
     axes.set_xlabel("seconds")
-    axes.set_ylabel("worth earned over owed")
+    axes.set_ylabel("share of worth earned")
     axes.legend(fontsize="small")
     figure.savefig(file, bbox_inches="tight")
--- a/packages/cornelspan-cli/src/cornelspan_cli/main.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/main.py
@@ -1,4 +1,4 @@
-"""``cornelspan``: the operators' command line."""
+"""``cornelspan``: the command line client for operators."""
 
 import sys
 from dataclasses import dataclass
@@ -17,10 +17,10 @@
 from cornelspan_cli.status import StatusCommand
 
 
-@cappa.command(name="cornelspan", help="The operators' client of cornelspan.")
+@cappa.command(name="cornelspan", help="Operate a cornelspan deployment.")
 @dataclass(frozen=True)
 class CornelspanCommand:
-    """The operators' commands."""
+    """Operate a cornelspan deployment, and test one on loopback."""
 
     command: cappa.Subcommands[
         ProfileCommand
--- a/packages/cornelspan-cli/src/cornelspan_cli/profiles.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/profiles.py
@@ -46,7 +46,7 @@
     """
 
     async def execute(self, session: Session) -> int:
-        """Print what is accepted."""
+        """Print the accepted profiles."""
         match await read_snapshot(session.client):
             case Err(error):
                 return fail(error)
@@ -67,7 +67,7 @@
         return ExitCode.SUCCESS
 
 
-@cappa.command(name="show", help="Show a profile, each field with its path.")
+@cappa.command(name="show", help="Show the path and value of each field of a profile.")
 @dataclass(frozen=True, kw_only=True)
 class ShowProfile(OperatorCommand):
     """Show a profile.
@@ -101,13 +101,20 @@
     """
 
     name: ProfileName
-    file: Annotated[str, cappa.Arg(long="--file", help="JSON file, - for stdin.")]
+    file: Annotated[
+        str, cappa.Arg(long="--file", help="JSON file, - for standard input.")
+    ]
     base: Annotated[
-        str, cappa.Arg(long="--base", help="Version that the edit started from.")
+        str,
+        cappa.Arg(
+            long="--base",
+            help="Version that the edit is based on; exit 3 if another is in force. "
+            "By default the one in force.",
+        ),
     ] = ""
 
     async def execute(self, session: Session) -> int:
-        """Have the file's content accepted."""
+        """Submit the content of the file."""
         match read_profile(self.file, self.name):
             case Err(error):
                 return fail(error)
@@ -123,16 +130,16 @@
 @cappa.command(name="set", help="Change single fields of a profile.")
 @dataclass(frozen=True, kw_only=True)
 class SetProfile(ChangeCommand):
-    """Change fields of a profile by their paths.
+    """Change single fields of a profile, named by their paths.
 
     Example: cornelspan profile set orders priority=1 requests.queue=128 --wait
     """
 
     name: ProfileName
-    fields: Annotated[list[str], cappa.Arg(help="PATH=VALUE, one or more.")]
+    fields: Annotated[list[str], cappa.Arg(help="One or more of PATH=VALUE.")]
 
     async def execute(self, session: Session) -> int:
-        """Have the changed profile accepted."""
+        """Submit the changed profile."""
         match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
@@ -148,16 +155,18 @@
 @cappa.command(name="diff", help="Compare a profile with an earlier version.")
 @dataclass(frozen=True, kw_only=True)
 class DiffProfile(OperatorCommand):
-    """Compare versions; the one before the newest by default.
+    """Compare the version in force with an earlier one, by default the previous.
 
     Example: cornelspan profile diff orders 3f2a90
     """
 
     name: ProfileName
-    version: Annotated[str, cappa.Arg(help="Version to compare with.")] = ""
+    version: Annotated[
+        str, cappa.Arg(help="Earlier version, or the start of its id.")
+    ] = ""
 
     async def execute(self, session: Session) -> int:
-        """Print the changed fields."""
+        """Print the fields that differ."""
         match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
@@ -183,16 +192,18 @@
 @cappa.command(name="history", help="List the versions of a profile, newest first.")
 @dataclass(frozen=True, kw_only=True)
 class ProfileHistory(OperatorCommand):
-    """List versions.
+    """List the versions of a profile.
 
     Example: cornelspan profile history orders
     """
 
     name: ProfileName
-    limit: Annotated[int, cappa.Arg(long="--limit", help="How many.")] = 20
+    limit: Annotated[
+        int, cappa.Arg(long="--limit", help="Maximum number of versions, at most 50.")
+    ] = 20
 
     async def execute(self, session: Session) -> int:
-        """Print who changed it when."""
+        """Print the author and time of each version."""
         limit = min(self.limit, HISTORY_LIMIT)
         match await read_history(session.client, "profiles", self.name, limit=limit):
             case Err(error):
@@ -209,19 +220,21 @@
         return ExitCode.SUCCESS
 
 
-@cappa.command(name="revert", help="Bring back an earlier version as a new change.")
+@cappa.command(name="revert", help="Restore an earlier version as a new change.")
 @dataclass(frozen=True, kw_only=True)
 class RevertProfile(ChangeCommand):
-    """Bring back a version.
+    """Restore an earlier version.
 
     Example: cornelspan profile revert orders 3f2a90
     """
 
     name: ProfileName
-    version: Annotated[str, cappa.Arg(help="Version to bring back.")]
+    version: Annotated[
+        str, cappa.Arg(help="Version to restore, or the start of its id.")
+    ]
 
     async def execute(self, session: Session) -> int:
-        """Have the older content accepted anew."""
+        """Submit the content of the earlier version as a new change."""
         match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
@@ -245,7 +258,7 @@
     name: ProfileName
 
     async def execute(self, session: Session) -> int:
-        """Have the deletion accepted."""
+        """Submit the deletion."""
         match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
@@ -253,10 +266,12 @@
                 return await _submit(session, self, current, None)
 
 
-@cappa.command(name="profile", help="Profiles: how kinds of traffic are treated.")
+@cappa.command(
+    name="profile", help="Show and change profiles, the settings for a kind of traffic."
+)
 @dataclass(frozen=True)
 class ProfileCommand:
-    """Commands on profiles."""
+    """Show and change profiles."""
 
     command: cappa.Subcommands[
         ListProfiles
@@ -271,6 +286,7 @@
 
 
 async def _read_existing(session: Session, name: str) -> Result[CurrentVersion, object]:
+    """Return the version in force, or ``NotFound`` if there is none."""
     match await read_current(session.client, "profiles", name):
         case Ok(CurrentVersion(version=None)):
             return Err(NotFound("profiles", name))
@@ -281,10 +297,13 @@
 async def _find_earlier(
     session: Session, name: str, newest: Version, prefix: str
 ) -> Result[Version, object]:
-    """Return an earlier version, named by its id or the start of it."""
+    """Return the earlier version whose id starts with a prefix.
+
+    An empty prefix selects the version before the newest.
+    """
     matches = [each for each in newest.ancestors if each.startswith(prefix)]
     if not matches or (prefix and len(matches) > 1):
-        return Err(Invalid(f"{name} has no single earlier version {prefix}".rstrip()))
+        return Err(Invalid(f"{name} has no unique earlier version {prefix}".rstrip()))
     return await read_version(session.client, "profiles", name, matches[0])
 
 
@@ -296,6 +315,7 @@
     *,
     base: str = "",
 ) -> int:
+    """Submit a profile based on the current version; None deletes it."""
     change = new_change(
         "profiles",
         options.name,
--- a/packages/cornelspan-cli/src/cornelspan_cli/report.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/report.py
@@ -1,4 +1,4 @@
-"""``cornelspan report``: service-level burn as a table, as JSON or as a page."""
+"""``cornelspan report``: burn rates of service-level objectives."""
 
 import math
 import time
@@ -41,25 +41,28 @@
 log = get_log(__name__)
 
 
-@cappa.command(name="report", help="Show service-level burn; exit 7 with an alert.")
+@cappa.command(name="report", help="Show service-level burn rates; exit 7 on an alert.")
 @dataclass(frozen=True, kw_only=True)
 class ReportCommand(OperatorCommand):
-    """Show how fast each service uses up the failures its objective allows.
+    """Show how fast each service uses up its error budget.
 
     Example: cornelspan report --html burn.html
     """
 
     html: Annotated[
-        str, cappa.Arg(long="--html", help="Write a page with plots to this file.")
+        str,
+        cappa.Arg(
+            long="--html", help="Also write an HTML page with plots to this file."
+        ),
     ] = ""
 
     def __call__(self) -> int:
-        """Run the command."""
+        """Start logging, run the command and return its exit code."""
         start_logging(LogSettings(level="WARNING"), process="report")
         return run_command(self, self.execute)
 
     async def execute(self, session: Session) -> int:
-        """Read the summaries and show them; alerts go to the log too."""
+        """Build the report, print it and log its alerts."""
         match await fetch_report(session.client):
             case Err(error):
                 return fail(error)
@@ -76,7 +79,7 @@
 
 
 async def fetch_report(client: StoreClient) -> Result[Report, StoreError]:
-    """Read all that the report needs from the store."""
+    """Build the report from the summaries and the configuration in the store."""
     match await read_summaries(client):
         case Err(error):
             return Err(error)
@@ -88,7 +91,7 @@
 
 
 def log_alerts(report: Report) -> None:
-    """Log each alert as one JSON line."""
+    """Log a warning for each alert."""
     for each in report.services:
         for alert in each.burn.alerts:
             log.warning(
@@ -103,7 +106,10 @@
 
 
 def report_document(report: Report) -> dict[str, object]:
-    """Return the report as a JSON document; an endless time is null."""
+    """Return the report as a JSON document.
+
+    ``exhausted_in_days`` is null if budget is left and none was used in the last hour.
+    """
     return {
         "minute": report.minute,
         "missing": report.missing,
@@ -130,7 +136,7 @@
 
 
 def show_report(report: Report, console: Console) -> None:
-    """Print the report as a table that fits 80 columns, then what is missing."""
+    """Print the report as a table that fits 80 columns, then the missing data."""
     table = Table(
         title="Service-level burn", title_justify="left", box=None, padding=(0, 1)
     )
@@ -156,7 +162,7 @@
 
 
 def format_time_left(days: float) -> str:
-    """Return a time to exhaustion in words."""
+    """Return the time until the budget is exhausted, in days or hours."""
     if math.isinf(days):
         return "ever"
     return f"{days:.1f} d" if days >= 1 else f"{days * 24:.1f} h"
--- a/packages/cornelspan-cli/src/cornelspan_cli/report_page.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/report_page.py
@@ -1,4 +1,4 @@
-"""The report as one HTML page with its plots inside."""
+"""The report as one HTML page with embedded plots."""
 
 import base64
 import io
@@ -25,7 +25,7 @@
 
 
 def render_page(report: Report) -> str:
-    """Return the page; it needs nothing beside itself."""
+    """Return the report as an HTML page that loads no other files."""
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("cornelspan_cli"), autoescape=True
     )
@@ -38,7 +38,10 @@
 
 
 def burn_plot(service: ServiceReport) -> str:
-    """Return a service's burn rate by hour as a PNG in base64."""
+    """Return a plot of a service's hourly burn rate as a PNG image in base64.
+
+    Horizontal lines mark the thresholds of the alert rules.
+    """
     hours = service.series.hours[-PLOTTED_HOURS:]
     figure = Figure(figsize=FIGURE_INCHES)
     axes = figure.subplots()
--- a/packages/cornelspan-cli/src/cornelspan_cli/scenario.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/scenario.py
@@ -16,10 +16,10 @@
 NOT_INSTALLED = "cornelspan-standins is not installed; scenarios need it"
 
 
-@cappa.command(name="run", help="Run scenarios; exit 1 when one fails.")
+@cappa.command(name="run", help="Run scenarios; exit 1 if one fails.")
 @dataclass(frozen=True)
 class RunScenarios:
-    """Run scenario files, or all of a directory, one after another.
+    """Run scenario files, or all files of a directory, one after another.
 
     Example: cornelspan scenario run scenarios --seed 3
     """
@@ -30,11 +30,11 @@
         int, cappa.Arg(long=True, help="First port of the deployment on loopback.")
     ] = 22100
     short: Annotated[
-        bool, cappa.Arg(long=True, help="Only the short ones, marked 'ci'.")
+        bool, cappa.Arg(long=True, help="Run only scenarios marked 'ci'.")
     ] = False
 
     def __call__(self) -> int:
-        """Run them and return the exit code: 2 when one can't be parsed."""
+        """Run the scenarios; return 1 if one fails, 2 if one can't be parsed."""
         try:
             from cornelspan_standins import scenario_run
         except ImportError:
@@ -60,9 +60,9 @@
         return 0 if all(result.ok for result in results) else 1
 
 
-@cappa.command(name="scenario", help="Scripted failures against a deployment.")
+@cappa.command(name="scenario", help="Run scripted failures against a deployment.")
 @dataclass(frozen=True)
 class ScenarioCommand:
-    """Commands on scenarios."""
+    """Run scenarios."""
 
     command: cappa.Subcommands[RunScenarios]
--- a/packages/cornelspan-cli/src/cornelspan_cli/services.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/services.py
@@ -1,4 +1,4 @@
-"""``cornelspan service``: list, show, create, and choose a service's profile."""
+"""``cornelspan service``: list, show and create services, and set their profile."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -36,7 +36,7 @@
     """
 
     async def execute(self, session: Session) -> int:
-        """Print what is accepted."""
+        """Print the accepted services."""
         match await read_snapshot(session.client):
             case Err(error):
                 return fail(error)
@@ -78,10 +78,10 @@
         return ExitCode.SUCCESS
 
 
-@cappa.command(name="use", help="Have a service run under another profile.")
+@cappa.command(name="use", help="Set the profile of a service.")
 @dataclass(frozen=True, kw_only=True)
 class UseProfile(ChangeCommand):
-    """Choose the profile of a service.
+    """Set the profile of a service.
 
     Example: cornelspan service use order-hub orders --wait
     """
@@ -90,7 +90,7 @@
     profile: ProfileName
 
     async def execute(self, session: Session) -> int:
-        """Have the choice accepted."""
+        """Submit the service with its new profile."""
         match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
@@ -108,7 +108,9 @@
         return await submit_change(session, self, change)
 
 
-@cappa.command(name="create", help="Create a service; its address never changes.")
+@cappa.command(
+    name="create", help="Create a service; its address can't be changed later."
+)
 @dataclass(frozen=True, kw_only=True)
 class CreateService(ChangeCommand):
     """Create a service.
@@ -117,11 +119,11 @@
     """
 
     name: ServiceName
-    address: Annotated[str, cappa.Arg(help="IP:PORT that callers use.")]
+    address: Annotated[str, cappa.Arg(help="IP:PORT that callers connect to.")]
     profile: ProfileName
 
     async def execute(self, session: Session) -> int:
-        """Have the new service accepted."""
+        """Validate and submit the new service."""
         values = {"name": self.name, "address": self.address, "profile": self.profile}
         try:
             service = msgspec.convert(values, Service)
@@ -133,15 +135,18 @@
         return await submit_change(session, self, change)
 
 
-@cappa.command(name="service", help="Services: addresses, and the profile of each.")
+@cappa.command(
+    name="service", help="Show and change services, their addresses and profiles."
+)
 @dataclass(frozen=True)
 class ServiceCommand:
-    """Commands on services."""
+    """Show and change services."""
 
     command: cappa.Subcommands[ListServices | ShowService | UseProfile | CreateService]
 
 
 async def _read_existing(session: Session, name: str) -> Result[CurrentVersion, object]:
+    """Return the version in force, or ``NotFound`` if there is none."""
     match await read_current(session.client, "services", name):
         case Ok(CurrentVersion(version=None)):
             return Err(NotFound("services", name))
--- a/packages/cornelspan-cli/src/cornelspan_cli/soak.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/soak.py
@@ -1,4 +1,4 @@
-"""``cornelspan soak``: real processes under load and faults, promises checked."""
+"""``cornelspan soak``: check the guarantees of real processes under faults."""
 
 import asyncio
 import sys
@@ -13,32 +13,40 @@
 from cornelspan_common.logs import start_logging
 from cornelspan_common.settings import LogSettings
 
-NOT_INSTALLED = "cornelspan-standins is not installed; the soak needs it"
+NOT_INSTALLED = "cornelspan-standins is not installed; the soak test needs it"
 
 
-@cappa.command(name="soak", help="Run the fault soak; exit 1 when a promise breaks.")
+@cappa.command(
+    name="soak", help="Run the soak test; exit 1 if a guarantee is violated."
+)
 @dataclass(frozen=True)
 class SoakCommand:
-    """Run seeds one after the other, each with faults of its own.
+    """Run processes under load with random faults, one seed after another.
 
     Example: cornelspan soak --seed 3 --runs 10 --seconds 20
     """
 
     seed: Annotated[int, cappa.Arg(long=True, help="The first seed.")] = 1
-    runs: Annotated[int, cappa.Arg(long=True, help="How many seeds to run.")] = 1
+    runs: Annotated[int, cappa.Arg(long=True, help="Number of seeds.")] = 1
     seconds: Annotated[
-        float, cappa.Arg(long=True, help="How long faults come, in seconds.")
+        float, cappa.Arg(long=True, help="How long faults are injected, in seconds.")
     ] = 20.0
-    balancers: Annotated[int, cappa.Arg(long=True, help="How many balancers.")] = 3
-    orders: Annotated[int, cappa.Arg(long=True, help="Endpoints of one service.")] = 4
-    receipts: Annotated[int, cappa.Arg(long=True, help="Those of the other.")] = 2
-    per_second: Annotated[float, cappa.Arg(long=True, help="Requests.")] = 25.0
+    balancers: Annotated[int, cappa.Arg(long=True, help="Number of balancers.")] = 3
+    orders: Annotated[
+        int, cappa.Arg(long=True, help="Number of endpoints of the service orders.")
+    ] = 4
+    receipts: Annotated[
+        int, cappa.Arg(long=True, help="Number of endpoints of the service receipts.")
+    ] = 2
+    per_second: Annotated[float, cappa.Arg(long=True, help="Requests per second.")] = (
+        25.0
+    )
     history: Annotated[
-        Path, cappa.Arg(long=True, help="Where logs and histories of runs go.")
+        Path, cappa.Arg(long=True, help="Directory for logs and histories of runs.")
     ] = Path("out/soak")
 
     def __call__(self) -> int:
-        """Run all seeds and return the exit code."""
+        """Run all seeds; return 1 if a guarantee is violated, 2 for a bad option."""
         try:
             from cornelspan_standins import soak
             from cornelspan_standins.ports import port_block
--- a/packages/cornelspan-cli/src/cornelspan_cli/status.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/status.py
@@ -1,4 +1,4 @@
-"""``cornelspan status``: what is in force where, and which endpoints there are."""
+"""``cornelspan status``: the revision and state of each daemon."""
 
 from dataclasses import dataclass
 
@@ -17,13 +17,13 @@
 @cappa.command(name="status", help="Show the revision and state of each daemon.")
 @dataclass(frozen=True, kw_only=True)
 class StatusCommand(OperatorCommand):
-    """Show the fleet; exit 6 if a daemon is behind the accepted revision.
+    """Show all daemons; exit 6 if one is behind the accepted revision.
 
     Example: cornelspan status --json
     """
 
     async def execute(self, session: Session) -> int:
-        """Ask the relays, and print what they know."""
+        """Ask the relays for their members, and print them."""
         fleet = await read_fleet_status(
             session.client, session.settings, name="cornelspan"
         )
@@ -35,7 +35,7 @@
             case Err(error):
                 warnings.append(f"accepted revision unknown: {error}")
         if not fleet.answers:
-            return fail(f"no relay answers; {'; '.join(warnings)}")
+            return fail(f"no relay answered; {'; '.join(warnings)}")
         behind = fleet.members_behind(accepted)
         if self.json:
             _print_json(fleet, accepted, warnings)
@@ -86,5 +86,5 @@
 
 
 def _revisions_behind(status: MemberStatus, accepted: int) -> int:
-    """Return by how many revisions a daemon is behind."""
+    """Return by how many revisions a daemon is behind the accepted one."""
     return max(0, accepted - max(0, status.revision))
