--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: the model, the policies it compares, sweeps and the command."""
+"""Experiments: the simulation, the compared policies, sweeps and the command."""
 
 import json
 import logging
@@ -59,9 +59,10 @@
 
 @pytest.mark.parametrize("load", [2.5, 3.0])
 def test_orders_are_on_time_in_a_crowd_while_they_alone_fit(plan, load):
-    """Callers with orders don't notice the crowd; the others learn what is left.
+    """Orders are on time under overload while their load alone fits the endpoints.
 
-    Arrivals are more than all endpoints can do. Orders fill a quarter of them.
+    Arrivals exceed the capacity of all endpoints, of which orders need a quarter. The
+    other requests get what is left.
     """
     figures = figures_of(play(replaced(plan, load=load)))
     assert figures.first >= 0.95
@@ -71,11 +72,11 @@
     ("order", "least"), [("due", 1.0), ("deadline", 1.2), ("age", 1.2), ("none", 1.1)]
 )
 def test_on_time_first_earns_more_in_a_crowd(plan, order, least):
-    """More callers get their answers on time than by any plainer order.
+    """Under overload, more answers are on time than with any simpler queue order.
 
-    By age or by deadline nearly every request waits until it is late. By what is due
-    next, late ones run when it is too late for them as well. Without a line endpoints
-    shed orders and feeds alike.
+    By age or by deadline, nearly every request waits until it is late. By due time,
+    requests run that are already late. Without a queue, endpoints shed orders and feeds
+    alike.
     """
     crowd = replaced(plan, load=2.5)
     figures = figures_of(play(crowd))
@@ -85,9 +86,9 @@
 
 
 def test_an_outage_is_over_within_a_second_of_the_power(plan):
-    """Callers get nine tenths of the earlier answers a second after power is back.
+    """Nine tenths of the earlier rate is answered a second after power is restored.
 
-    All VMs lose power for a second and a half; every flow of before is dead.
+    All VMs lose power for 1.5 s, so no earlier flow survives.
     """
     outage = FaultPlan(kind="power", at=3.0, lasts=1.5)
     outcome = play(replaced(plan, faults=(outage,), seconds=8.0))
@@ -97,9 +98,9 @@
 
 
 def test_flows_survive_a_restart_of_all_daemons(plan):
-    """Callers see answers that are late, and no order is lost by a reset.
+    """Answers may be late, but no request fails when all daemons restart.
 
-    Every process of the system is killed at once, while the endpoints live on.
+    Every process of the system is killed at once, while the endpoints keep running.
     """
     kill = FaultPlan(kind="daemons", at=3.0, lasts=0.2)
     outcome = play(replaced(plan, faults=(kill,)))
@@ -111,7 +112,7 @@
 def slow_third():
     """Return a plan with a third of the endpoints eight times as slow for six seconds.
 
-    Bookings there have a flow each, and the endpoints carry what comes.
+    Each booking has its own flow, and the endpoints have capacity for all arrivals.
     """
     found = load_settings(str(PLANS / "foil-press.json"), ExperimentPlan).unwrap()
     slow = FaultPlan(kind="slow", at=3.0, lasts=6.0, share=0.33, factor=8.0)
@@ -119,9 +120,10 @@
 
 
 def test_bookings_are_on_time_while_a_third_of_the_endpoints_is_slow(slow_third):
-    """Callers don't notice that some backend servers are eight times as slow.
+    """Bookings are on time although some backend servers are eight times as slow.
 
-    Placed by what runs alone, a slow endpoint looks as good as a sound one.
+    If flows were placed by the number of running requests alone, a slow endpoint would
+    look as good as a healthy one.
     """
     figures = figures_of(play(slow_third))
     without_latency = PolicyPlan(without="paces")
@@ -131,7 +133,7 @@
 
 
 def test_no_system_does_better_than_the_ideal_one(plan):
-    """What callers lose with the ideal system is what nobody could save."""
+    """The simulated ideal system earns more; what it loses, no system could save."""
     outage = FaultPlan(kind="power", at=3.0, lasts=1.0)
     crowd = replaced(plan, faults=(outage,), seconds=8.0)
     ideal = replaced(crowd, policy=PolicyPlan(ideal=True))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' commands against a store and a small fleet."""
+"""The operator commands, run against a store and a small fleet."""
 
 import asyncio
 import json
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def operate(base_port, tmp_path, capsys, monkeypatch):
-    """Return a function that runs one command and gives its code and output."""
+    """Return a function that runs one command and returns exit code and output."""
     settings = tmp_path / "cornelspan.json"
     address = {"host": "127.0.0.1", "port": base_port}
     settings.write_text(json.dumps({"store": {"address": address}}))
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Pages that are made from the code are up to date, and their links lead somewhere."""
+"""Generated pages are up to date, and the targets of links between pages exist."""
 
 import ast
 import re
--- a/tests/test_report_command.py
+++ b/tests/test_report_command.py
@@ -1,4 +1,4 @@
-"""``cornelspan report`` shows the report as a table, as JSON and as a page."""
+"""``cornelspan report`` shows the report as a table, as JSON and as an HTML page."""
 
 import io
 import json
