--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -61,8 +61,8 @@
 def test_orders_are_on_time_in_a_crowd_while_they_alone_fit(plan, load):
     """Orders are on time under overload while their load alone fits the endpoints.
 
-    Arrivals exceed the capacity of all endpoints, of which orders need a quarter. The
-    other requests get what is left.
+    Arrivals exceed the capacity of all endpoints, and orders are a quarter of the load.
+    The other requests get what is left.
     """
     figures = figures_of(play(replaced(plan, load=load)))
     assert figures.first >= 0.95
@@ -133,7 +133,7 @@
 
 
 def test_no_system_does_better_than_the_ideal_one(plan):
-    """The simulated ideal system earns more; what it loses, no system could save."""
+    """The simulated ideal system earns more; its losses can't be avoided."""
     outage = FaultPlan(kind="power", at=3.0, lasts=1.0)
     crowd = replaced(plan, faults=(outage,), seconds=8.0)
     ideal = replaced(crowd, policy=PolicyPlan(ideal=True))
