--- a/packages/cornelspan-cli/src/cornelspan_cli/main.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/main.py
@@ -1,13 +1,13 @@
-"""``cornelspan``: the operators' command line."""
+"""``cornelspan``: the command line client for operators."""
 
 import sys
 from dataclasses import dataclass
 
 import cappa
 
-from cornelspan_cli.bench import Bench
+from cornelspan_cli.bench import BenchCommand
 from cornelspan_cli.check import CheckCommand
-from cornelspan_cli.demo import Demo
+from cornelspan_cli.demo import DemoCommand
 from cornelspan_cli.experiment import ExperimentCommand
 from cornelspan_cli.profiles import ProfileCommand
 from cornelspan_cli.report import ReportCommand
@@ -17,10 +17,10 @@
 from cornelspan_cli.status import StatusCommand
 
 
-@cappa.command(name="cornelspan", help="The operators' client of cornelspan.")
+@cappa.command(name="cornelspan", help="Operate a cornelspan deployment.")
 @dataclass(frozen=True)
-class Root:
-    """The operators' commands."""
+class CornelspanCommand:
+    """Operate a cornelspan deployment, and test one on loopback."""
 
     command: cappa.Subcommands[
         ProfileCommand
@@ -28,8 +28,8 @@
         | StatusCommand
         | ReportCommand
         | CheckCommand
-        | Demo
-        | Bench
+        | DemoCommand
+        | BenchCommand
         | ExperimentCommand
         | ScenarioCommand
         | SoakCommand
@@ -38,4 +38,4 @@
 
 def main() -> None:
     """Entry point of the ``cornelspan`` binary."""
-    sys.exit(cappa.invoke(Root))
+    sys.exit(cappa.invoke(CornelspanCommand))
--- a/packages/cornelspan-cli/src/cornelspan_cli/report.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/report.py
@@ -1,4 +1,4 @@
-"""``cornelspan report``: service-level burn as a table, as JSON or as a page."""
+"""``cornelspan report``: burn rates of service-level objectives."""
 
 import math
 import time
@@ -11,8 +11,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from cornelspan_cli._client import Common, Session, run
-from cornelspan_cli._output import Exit, fail, show_json
+from cornelspan_cli._client import OperatorCommand, Session, run_command
+from cornelspan_cli._output import ExitCode, fail, show_json
 from cornelspan_cli.report_page import render_page
 from cornelspan_common.logs import get_log, start_logging
 from cornelspan_common.service_levels import MINUTE_SECONDS
@@ -28,7 +28,7 @@
 )
 from cornelspan_control.summaries import read_summaries
 
-LEAST_SHOWN = -9.99
+MIN_DISPLAYED_BUDGET_LEFT = -9.99
 COLUMNS = (
     "service",
     *(window.name for window in WINDOWS),
@@ -41,25 +41,28 @@
 log = get_log(__name__)
 
 
-@cappa.command(name="report", help="Show service-level burn; exit 7 with an alert.")
+@cappa.command(name="report", help="Show service-level burn rates; exit 7 on an alert.")
 @dataclass(frozen=True, kw_only=True)
-class ReportCommand(Common):
-    """Show how fast each service uses up the failures its objective allows.
+class ReportCommand(OperatorCommand):
+    """Show how fast each service uses up its error budget.
 
     Example: cornelspan report --html burn.html
     """
 
     html: Annotated[
-        str, cappa.Arg(long="--html", help="Write a page with plots to this file.")
+        str,
+        cappa.Arg(
+            long="--html", help="Also write an HTML page with plots to this file."
+        ),
     ] = ""
 
     def __call__(self) -> int:
-        """Run the command."""
+        """Start logging, run the command and return its exit code."""
         start_logging(LogSettings(level="WARNING"), process="report")
-        return run(self, self.work)
+        return run_command(self, self.execute)
 
-    async def work(self, session: Session) -> int:
-        """Read the summaries and show them; alerts go to the log too."""
+    async def execute(self, session: Session) -> int:
+        """Build the report, print it and log its alerts."""
         match await fetch_report(session.client):
             case Err(error):
                 return fail(error)
@@ -72,23 +75,23 @@
         else:
             show_report(report, Console())
         log_alerts(report)
-        return Exit.ALERT if report.alerts else Exit.DONE
+        return ExitCode.ALERT if report.alerts else ExitCode.SUCCESS
 
 
 async def fetch_report(client: StoreClient) -> Result[Report, StoreError]:
-    """Read all that the report needs from the store."""
+    """Build the report from the summaries and the configuration in the store."""
     match await read_summaries(client):
         case Err(error):
             return Err(error)
         case Ok(summaries):
             pass
     now = int(time.time()) // MINUTE_SECONDS
-    snapshot = await read_snapshot(client)
-    return snapshot.map(lambda found: build_report(summaries, found, now=now))
+    result = await read_snapshot(client)
+    return result.map(lambda snapshot: build_report(summaries, snapshot, now=now))
 
 
 def log_alerts(report: Report) -> None:
-    """Log each alert as one JSON line."""
+    """Log a warning for each alert."""
     for each in report.services:
         for alert in each.burn.alerts:
             log.warning(
@@ -103,7 +106,10 @@
 
 
 def report_document(report: Report) -> dict[str, object]:
-    """Return the report as a JSON document; an endless time is null."""
+    """Return the report as a JSON document.
+
+    ``exhausted_in_days`` is null if budget is left and none was used in the last hour.
+    """
     return {
         "minute": report.minute,
         "missing": report.missing,
@@ -111,26 +117,26 @@
     }
 
 
-def _service_document(each: ServiceReport) -> dict[str, object]:
-    burn = each.burn
-    endless = math.isinf(burn.exhausted_in_days)
+def _service_document(service: ServiceReport) -> dict[str, object]:
+    burn = service.burn
+    never_exhausted = math.isinf(burn.exhausted_in_days)
     return {
         "service": burn.service,
-        "profile": each.profile,
+        "profile": service.profile,
         "objective": burn.objective,
         "burn": burn.rates,
         "requests": burn.requests,
         "budget_left": burn.budget_left,
-        "exhausted_in_days": None if endless else burn.exhausted_in_days,
+        "exhausted_in_days": None if never_exhausted else burn.exhausted_in_days,
         "alerts": burn.alerts,
-        "p50_ms": each.p50_ms,
-        "p99_ms": each.p99_ms,
-        "datacentres": each.datacentres,
+        "p50_ms": service.p50_ms,
+        "p99_ms": service.p99_ms,
+        "datacentres": service.datacentres,
     }
 
 
 def show_report(report: Report, console: Console) -> None:
-    """Print the report as a table that fits 80 columns, then what is missing."""
+    """Print the report as a table that fits 80 columns, then the missing data."""
     table = Table(
         title="Service-level burn", title_justify="left", box=None, padding=(0, 1)
     )
@@ -143,20 +149,20 @@
         console.print(f"missing: {line}", highlight=False)
 
 
-def _row(each: ServiceReport) -> list[str]:
-    burn = each.burn
+def _row(service: ServiceReport) -> list[str]:
+    burn = service.burn
     return [
         burn.service,
         *(f"{burn.rates[window.name]:.1f}" for window in WINDOWS),
-        f"{max(burn.budget_left, LEAST_SHOWN):.0%}",
-        lasting(burn.exhausted_in_days),
-        f"{each.p99_ms:.0f}",
+        f"{max(burn.budget_left, MIN_DISPLAYED_BUDGET_LEFT):.0%}",
+        format_time_left(burn.exhausted_in_days),
+        f"{service.p99_ms:.0f}",
         "+".join(alert.removesuffix(" burn") for alert in burn.alerts) or "-",
     ]
 
 
-def lasting(days: float) -> str:
-    """Return a time to exhaustion in words."""
+def format_time_left(days: float) -> str:
+    """Return the time until the budget is exhausted, in days or hours."""
     if math.isinf(days):
         return "ever"
     return f"{days:.1f} d" if days >= 1 else f"{days * 24:.1f} h"
--- a/packages/cornelspan-cli/src/cornelspan_cli/services.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/services.py
@@ -1,4 +1,4 @@
-"""``cornelspan service``: list, show, create, and choose a service's profile."""
+"""``cornelspan service``: list, show and create services, and set their profile."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -7,8 +7,14 @@
 import msgspec
 from result import Err, Ok, Result
 
-from cornelspan_cli._client import Changing, Common, Session, author_of, make
-from cornelspan_cli._output import Exit, fail, show_json, show_table
+from cornelspan_cli._client import (
+    ChangeCommand,
+    OperatorCommand,
+    Session,
+    change_author,
+    submit_change,
+)
+from cornelspan_cli._output import ExitCode, fail, show_json, show_table
 from cornelspan_control.changes import Invalid, NotFound, new_change
 from cornelspan_control.configuration_reader import (
     CurrentVersion,
@@ -23,14 +29,14 @@
 
 @cappa.command(name="list", help="List the services.")
 @dataclass(frozen=True, kw_only=True)
-class ListServices(Common):
+class ListServices(OperatorCommand):
     """List services.
 
     Example: cornelspan service list
     """
 
-    async def work(self, session: Session) -> int:
-        """Print what is accepted."""
+    async def execute(self, session: Session) -> int:
+        """Print the accepted services."""
         match await read_snapshot(session.client):
             case Err(error):
                 return fail(error)
@@ -38,17 +44,17 @@
                 pass
         if self.json:
             show_json(snapshot.services)
-            return Exit.DONE
+            return ExitCode.SUCCESS
         services = sorted(snapshot.services, key=lambda each: each.name)
         rows = [(each.name, each.address, each.profile) for each in services]
         title = f"Services at revision {snapshot.revision}"
         show_table(title, ("name", "address", "profile"), rows)
-        return Exit.DONE
+        return ExitCode.SUCCESS
 
 
 @cappa.command(name="show", help="Show a service.")
 @dataclass(frozen=True, kw_only=True)
-class ShowService(Common):
+class ShowService(OperatorCommand):
     """Show a service.
 
     Example: cornelspan service show order-hub --json
@@ -56,26 +62,26 @@
 
     name: ServiceName
 
-    async def work(self, session: Session) -> int:
+    async def execute(self, session: Session) -> int:
         """Print the version in force."""
-        match await _in_force(session, self.name):
+        match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
-            case Ok(seen):
-                version = seen.version
+            case Ok(current):
+                version = current.version
         if self.json:
             show_json({"version": version.change, "service": version.service})
-            return Exit.DONE
+            return ExitCode.SUCCESS
         rows = list(msgspec.to_builtins(version.service).items())
         title = f"Service {self.name}, version {version.change} by {version.author}"
         show_table(title, ("field", "value"), rows)
-        return Exit.DONE
+        return ExitCode.SUCCESS
 
 
-@cappa.command(name="use", help="Have a service run under another profile.")
+@cappa.command(name="use", help="Set the profile of a service.")
 @dataclass(frozen=True, kw_only=True)
-class UseProfile(Changing):
-    """Choose the profile of a service.
+class UseProfile(ChangeCommand):
+    """Set the profile of a service.
 
     Example: cornelspan service use order-hub orders --wait
     """
@@ -83,61 +89,66 @@
     name: ServiceName
     profile: ProfileName
 
-    async def work(self, session: Session) -> int:
-        """Have the choice accepted."""
-        match await _in_force(session, self.name):
+    async def execute(self, session: Session) -> int:
+        """Submit the service with its new profile."""
+        match await _read_existing(session, self.name):
             case Err(error):
                 return fail(error)
-            case Ok(seen):
+            case Ok(current):
                 pass
-        service = msgspec.structs.replace(seen.version.service, profile=self.profile)
+        service = msgspec.structs.replace(current.version.service, profile=self.profile)
         change = new_change(
             "services",
             self.name,
             service,
-            author=author_of(self),
-            base=seen.base,
-            min_version=seen.min_version,
+            author=change_author(self),
+            base=current.base,
+            min_version=current.min_version,
         )
-        return await make(session, self, change)
+        return await submit_change(session, self, change)
 
 
-@cappa.command(name="create", help="Create a service; its address never changes.")
+@cappa.command(
+    name="create", help="Create a service; its address can't be changed later."
+)
 @dataclass(frozen=True, kw_only=True)
-class CreateService(Changing):
+class CreateService(ChangeCommand):
     """Create a service.
 
     Example: cornelspan service create order-hub 10.0.0.1:443 orders
     """
 
     name: ServiceName
-    address: Annotated[str, cappa.Arg(help="IP:PORT that callers use.")]
+    address: Annotated[str, cappa.Arg(help="IP:PORT that callers connect to.")]
     profile: ProfileName
 
-    async def work(self, session: Session) -> int:
-        """Have the new service accepted."""
+    async def execute(self, session: Session) -> int:
+        """Validate and submit the new service."""
         values = {"name": self.name, "address": self.address, "profile": self.profile}
         try:
             service = msgspec.convert(values, Service)
         except msgspec.ValidationError as error:
             return fail(Invalid(str(error)))
         change = new_change(
-            "services", self.name, service, author=author_of(self), base=""
+            "services", self.name, service, author=change_author(self), base=""
         )
-        return await make(session, self, change)
+        return await submit_change(session, self, change)
 
 
-@cappa.command(name="service", help="Services: addresses, and the profile of each.")
+@cappa.command(
+    name="service", help="Show and change services, their addresses and profiles."
+)
 @dataclass(frozen=True)
 class ServiceCommand:
-    """Commands on services."""
+    """Show and change services."""
 
     command: cappa.Subcommands[ListServices | ShowService | UseProfile | CreateService]
 
 
-async def _in_force(session: Session, name: str) -> Result[CurrentVersion, object]:
+async def _read_existing(session: Session, name: str) -> Result[CurrentVersion, object]:
+    """Return the version in force, or ``NotFound`` if there is none."""
     match await read_current(session.client, "services", name):
         case Ok(CurrentVersion(version=None)):
             return Err(NotFound("services", name))
-        case seen:
-            return seen
+        case current:
+            return current
