--- a/packages/cornelspan-common/src/cornelspan_common/ejection.py
+++ b/packages/cornelspan-common/src/cornelspan_common/ejection.py
@@ -14,8 +14,8 @@
 
 from cornelspan_common.settings import Checked, Duration, Share
 
-LONGEST_DOUBLING = 5
-FORGIVEN_SECONDS = 300.0
+MAX_DOUBLINGS = 5
+EJECTIONS_FORGOTTEN_SECONDS = 300.0
 
 
 class EjectionPolicy(Checked, frozen=True, kw_only=True):
@@ -39,14 +39,14 @@
 
 
 @dataclass
-class Judgement:
+class EjectionState:
     """What one agent thinks of its endpoint; times in seconds of the owner's clock."""
 
     failures: int = 0
     ejections: int = 0
     ejected_until: float = 0.0
     ejected: bool = False
-    probing: int = 0
+    probes_running: int = 0
 
     def standing(self, now: float) -> Standing:
         """Return how the endpoint stands now."""
@@ -54,21 +54,23 @@
             return Standing.IN
         return Standing.OUT if now < self.ejected_until else Standing.PROBING
 
-    def succeed(self, now: float) -> bool:
+    def record_success(self, now: float) -> bool:
         """Note a good answer; after a long good time earlier ejections don't count.
 
         Returns:
             Whether it ends an ejection, so that slow start begins again.
         """
         self.failures = 0
-        if not self.ejected and now - self.ejected_until > FORGIVEN_SECONDS:
+        if not self.ejected and now - self.ejected_until > EJECTIONS_FORGOTTEN_SECONDS:
             self.ejections = 0
         if self.standing(now) is not Standing.PROBING:
             return False
         self.ejected = False
         return True
 
-    def fail(self, policy: EjectionPolicy, now: float, *, room: bool) -> bool:
+    def record_failure(
+        self, policy: EjectionPolicy, now: float, *, may_eject: bool
+    ) -> bool:
         """Note a failure.
 
         Args:
@@ -84,7 +86,7 @@
             if self.standing(now) is Standing.PROBING:
                 self._eject(policy, now)
             return False
-        if self.failures < policy.failures or not room:
+        if self.failures < policy.failures or not may_eject:
             return False
         self._eject(policy, now)
         return True
@@ -96,14 +98,14 @@
         policy: EjectionPolicy,
         now: float,
         *,
-        room: bool,
+        may_eject: bool,
     ) -> bool:
         """Eject an endpoint that is much slower than the median of its peers."""
         # Only the HTTP side compares endpoints. Imported above, it would cost every
         # pass-through daemon 0.4 MB for fractions and decimal numbers.
         from statistics import median
 
-        if self.ejected or not room or not others:
+        if self.ejected or not may_eject or not others:
             return False
         if own <= policy.slow_ratio * median(others):
             return False
@@ -117,13 +119,13 @@
 
     def _eject(self, policy: EjectionPolicy, now: float) -> None:
         self.ejected = True
-        doubling = min(self.ejections, LONGEST_DOUBLING)
+        doubling = min(self.ejections, MAX_DOUBLINGS)
         self.ejected_until = now + policy.seconds * 2**doubling
         self.ejections += 1
         self.failures = 0
 
 
-def has_room(out: int, group: int, policy: EjectionPolicy) -> bool:
+def can_eject(out: int, group: int, policy: EjectionPolicy) -> bool:
     """Whether one more endpoint of a group may be out.
 
     Args:
@@ -134,7 +136,7 @@
     return out + 1 <= int(group * policy.share_limit)
 
 
-def must_return(name: str, out: Sequence[str], group: int, share: float) -> bool:
+def must_readmit(name: str, out: Sequence[str], group: int, share: float) -> bool:
     """Whether an ejected endpoint goes back because the cap is overshot.
 
     Agents decide alone and hear of one another late, so two may leave at once. Then the
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from cornelspan_common.bounded_logs import complaint_bucket
-from cornelspan_common.ejection import Judgement
+from cornelspan_common.ejection import EjectionState
 from cornelspan_common.expiring import Expiring
 from cornelspan_common.logs import get_log, set_level
 from cornelspan_passthrough import messages
@@ -113,7 +113,7 @@
         self.flows = FlowTable(retention_seconds)
         self.owner_records: Expiring[int] = Expiring(idle_seconds=retention_seconds)
         self.request_queue = RequestQueue()
-        self.outlier_detector = Judgement()
+        self.outlier_detector = EjectionState()
         self.log_rate_limit = complaint_bucket()
         self.waiting_times = Histogram()
         self.endpoint = Endpoint(
@@ -370,7 +370,7 @@
             log_endpoint(self, "endpoint state changed")
             self.send_pongs(now)
         if outcome is ReportOutcome.REPLACED_INCARNATION:
-            self.outlier_detector = Judgement()
+            self.outlier_detector = EjectionState()
             reset_flows(self, "endpoint restarted", before=last_report_at)
         return outcome
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/outlier_detection.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/outlier_detection.py
@@ -62,9 +62,9 @@
     before = detector.standing(now)
     for _ in range(count):
         if succeeded:
-            detector.succeed(now)
+            detector.record_success(now)
         else:
-            detector.fail(agent.settings.ejection, now, room=True)
+            detector.record_failure(agent.settings.ejection, now, may_eject=True)
     after = detector.standing(now)
     if after is before:
         return
--- a/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
@@ -12,7 +12,7 @@
 
 from result import Err, Ok, Result
 
-from cornelspan_common.ejection import Judgement, Standing, has_room, must_return
+from cornelspan_common.ejection import EjectionState, Standing, can_eject, must_readmit
 from cornelspan_common.logs import get_log
 from cornelspan_common.ownership import Load
 from cornelspan_common.settings import Address
@@ -49,7 +49,7 @@
     slow_start: SlowStart
     call_server: CallServer
     peer_loads: PeerLoads
-    ejection_state: Judgement = field(default_factory=Judgement)
+    ejection_state: EjectionState = field(default_factory=EjectionState)
     waiters: dict[Ticket, asyncio.Future] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -83,11 +83,11 @@
         if (failure := self._reject_if_ejected(profile)) is not None:
             return Err(failure)
         is_probe = self.standing() is Standing.PROBING
-        self.ejection_state.probing += is_probe
+        self.ejection_state.probes_running += is_probe
         try:
             return await self._admit(request, sink, profile)
         finally:
-            self.ejection_state.probing -= is_probe
+            self.ejection_state.probes_running -= is_probe
 
     def end_excess_ejection(self, name: str, profile: Profile) -> None:
         """End this endpoint's ejection if more are ejected than the profile allows.
@@ -100,7 +100,7 @@
         loads = list(self.peer_loads())
         unavailable = [name, *(load.name for load in loads if load.slots == 0)]
         share = profile.ejection.share_limit
-        if must_return(name, unavailable, len(loads) + 1, share):
+        if must_readmit(name, unavailable, len(loads) + 1, share):
             self.ejection_state.readmit()
             log.warning(
                 "endpoint readmitted", extra={"why": "too many endpoints ejected"}
@@ -109,7 +109,9 @@
     def _reject_if_ejected(self, profile: Profile) -> Failure | None:
         """Return a failure while ejected; afterwards let one probe run at a time."""
         standing = self.standing()
-        probe_running = standing is Standing.PROBING and self.ejection_state.probing
+        probe_running = (
+            standing is Standing.PROBING and self.ejection_state.probes_running
+        )
         if standing is Standing.OUT or probe_running:
             remaining = self.ejection_state.ejected_until - self.loop.time()
             return Failure(RequestOutcome.NOT_RUN, Reason.EJECTED, max(1.0, remaining))
@@ -238,7 +240,7 @@
 
     def _record_success(self, profile: Profile, now: float) -> None:
         """Readmit an endpoint that is being probed; eject one that is too slow."""
-        if self.ejection_state.succeed(now):
+        if self.ejection_state.record_success(now):
             self.slow_start.restart(now)
             # Service times from before the ejection would eject it again at once.
             self.admission.times = ServiceTimes()
@@ -254,20 +256,22 @@
         own_mean = self.admission.times.mean
         may_eject = self._may_eject(profile, loads)
         if self.ejection_state.eject_if_slow(
-            own_mean, other_means, profile.ejection, now, room=may_eject
+            own_mean, other_means, profile.ejection, now, may_eject=may_eject
         ):
             log.warning("endpoint ejected", extra={"why": "slow", "seconds": own_mean})
 
     def _record_failure(self, profile: Profile, now: float) -> None:
         """Count a failure; eject the endpoint after too many in a row."""
         may_eject = self._may_eject(profile, list(self.peer_loads()))
-        if self.ejection_state.fail(profile.ejection, now, room=may_eject):
+        if self.ejection_state.record_failure(
+            profile.ejection, now, may_eject=may_eject
+        ):
             log.warning("endpoint ejected", extra={"why": "failures"})
 
     def _may_eject(self, profile: Profile, loads: list[Load]) -> bool:
         """Whether one more endpoint of the service may be ejected."""
         unavailable = sum(1 for load in loads if load.slots == 0)
-        return has_room(unavailable, len(loads) + 1, profile.ejection)
+        return can_eject(unavailable, len(loads) + 1, profile.ejection)
 
     def _apply_slow_start(self, profile: Profile, now: float) -> None:
         """Limit the slots during slow start if another endpoint has a free slot."""
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -5,10 +5,10 @@
 
 from cornelspan_common.ejection import (
     EjectionPolicy,
-    Judgement,
+    EjectionState,
     Standing,
-    has_room,
-    must_return,
+    can_eject,
+    must_readmit,
 )
 from cornelspan_control.profiles import RetryPolicy
 from cornelspan_requests.outcomes import Failure, Reason, RequestOutcome
@@ -18,29 +18,31 @@
 POLICY = EjectionPolicy(failures=3, seconds=10.0, share_limit=0.34)
 
 
-def fail(state, times, now=0.0, *, room=True):
-    return [state.fail(POLICY, now, room=room) for _ in range(times)]
+def fail(state, times, now=0.0, *, may_eject=True):
+    return [
+        state.record_failure(POLICY, now, may_eject=may_eject) for _ in range(times)
+    ]
 
 
 def test_failures_in_a_row_eject_and_a_probe_brings_back():
-    state = Judgement()
+    state = EjectionState()
     assert fail(state, 3) == [False, False, True]
     assert state.standing(9.9) is Standing.OUT
     assert state.standing(10.0) is Standing.PROBING
-    assert state.succeed(10.0)
+    assert state.record_success(10.0)
     assert state.standing(10.0) is Standing.IN
 
 
 def test_a_success_between_keeps_an_endpoint_in():
-    state = Judgement()
+    state = EjectionState()
     for _ in range(10):
         fail(state, 2)
-        state.succeed(0.0)
+        state.record_success(0.0)
     assert state.standing(0.0) is Standing.IN
 
 
 def test_failed_probe_stays_out_for_longer():
-    state = Judgement()
+    state = EjectionState()
     fail(state, 3)
     fail(state, 1, now=10.0)
     assert state.standing(29.9) is Standing.OUT
@@ -48,25 +50,25 @@
 
 
 def test_ejections_are_forgiven_after_a_long_good_time():
-    state = Judgement()
+    state = EjectionState()
     fail(state, 3)
-    state.succeed(10.0)
-    state.succeed(500.0)
+    state.record_success(10.0)
+    state.record_success(500.0)
     fail(state, 3, now=600.0)
     assert state.standing(610.0) is Standing.PROBING
 
 
 def test_no_ejection_without_room():
-    state = Judgement()
-    fail(state, 20, room=False)
+    state = EjectionState()
+    fail(state, 20, may_eject=False)
     assert state.standing(0.0) is Standing.IN
 
 
 def test_slow_endpoint_is_compared_with_its_peers():
-    state = Judgement()
+    state = EjectionState()
     others = [0.05, 0.06, 0.04]
-    assert not state.eject_if_slow(0.19, others, POLICY, 0.0, room=True)
-    assert state.eject_if_slow(0.21, others, POLICY, 0.0, room=True)
+    assert not state.eject_if_slow(0.19, others, POLICY, 0.0, may_eject=True)
+    assert state.eject_if_slow(0.21, others, POLICY, 0.0, may_eject=True)
 
 
 @given(st.integers(1, 40), st.floats(0, 1))
@@ -75,11 +77,11 @@
     names = [f"hub-{number}" for number in range(group)]
     out = []
     for name in names:
-        if has_room(len(out), group, policy):
+        if can_eject(len(out), group, policy):
             out.append(name)
     assert len(out) <= group * share
     # All are ejected at once, each before its agent knows about the others.
-    staying_out = [n for n in names if not must_return(n, names, group, share)]
+    staying_out = [n for n in names if not must_readmit(n, names, group, share)]
     assert len(staying_out) <= group * share
 
 
