--- a/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
@@ -16,7 +16,7 @@
 
 from cornelspan_common.logs import get_log
 from cornelspan_common.metrics import Labelled
-from cornelspan_common.service_levels import MINUTE_SECONDS, Sealed, ServiceCounts
+from cornelspan_common.service_levels import MINUTE_SECONDS, SealedMinute, ServiceCounts
 from cornelspan_control.burn import Burn, Series, burn_of, merge_series
 from cornelspan_control.configuration import Configuration
 from cornelspan_control.plane import Plane
@@ -52,7 +52,7 @@
         self.burns: dict[str, Burn] = {}
         self.firing: set[tuple[str, str]] = set()
 
-    def add_counts(self, counts: ServiceCounts, datacentre: str) -> Sealed:
+    def add_counts(self, counts: ServiceCounts, datacentre: str) -> SealedMinute:
         """Add an agent's counts and return which minutes it need not send again.
 
         Counts are grouped by the agent's data centre, not the relay's. A data centre
@@ -61,7 +61,7 @@
         """
         collector = self.collectors.setdefault(datacentre, Collector(datacentre))
         collector.record(counts)
-        return Sealed(collector.sealed_minute(counts.agent, counts.incarnation))
+        return SealedMinute(collector.sealed_minute(counts.agent, counts.incarnation))
 
     def update_alerts(self, now: int) -> list[AlertChange]:
         """Recompute the burn rates of services with counts, and which alerts fire.
--- a/packages/cornelspan-common/src/cornelspan_common/control.py
+++ b/packages/cornelspan-common/src/cornelspan_common/control.py
@@ -93,7 +93,7 @@
 class Suspect(Message, frozen=True, tag=68):
     """A relay has not heard from a member and asks whether the receiver has."""
 
-    question: int
+    query_id: int
     name: str
     incarnation: int
     host: str
@@ -103,7 +103,7 @@
 class Verdict(Message, frozen=True, tag=69):
     """Answer to ``Suspect``: whether that life of the member was reached."""
 
-    question: int
+    query_id: int
     alive: bool
 
 
--- a/packages/cornelspan-common/src/cornelspan_common/messages.py
+++ b/packages/cornelspan-common/src/cornelspan_common/messages.py
@@ -31,7 +31,7 @@
     AnswerFailed,
     AnswerPart,
     AnswerStart,
-    AnswerTaken,
+    AnswerAck,
     KeyClaim,
     KeyDone,
     KeyLeave,
@@ -43,7 +43,7 @@
     RequestPart,
     RequestStart,
 )
-from cornelspan_common.service_levels import Sealed, ServiceCounts
+from cornelspan_common.service_levels import SealedMinute, ServiceCounts
 
 AnyMessage = (
     Hello
@@ -71,14 +71,14 @@
     | MemberStatus
     | Status
     | ServiceCounts
-    | Sealed
+    | SealedMinute
     | RequestStart
     | RequestPart
     | RequestCancel
     | AnswerStart
     | AnswerPart
     | AnswerFailed
-    | AnswerTaken
+    | AnswerAck
     | KeyClaim
     | KeyVote
     | KeyRelease
--- a/packages/cornelspan-common/src/cornelspan_common/ownership.py
+++ b/packages/cornelspan-common/src/cornelspan_common/ownership.py
@@ -10,7 +10,7 @@
     flow: int
     home: str
     incarnation: int
-    question: int
+    query_id: int
 
 
 class ClaimAnswer(Message, frozen=True, tag=21):
@@ -22,7 +22,7 @@
     """
 
     flow: int
-    question: int
+    query_id: int
     owner: str
     owner_incarnation: int
     home: str
@@ -61,7 +61,7 @@
     packet: Packet
     home: str
     incarnation: int
-    question: int
+    query_id: int
     yielded: str
     limit: int
     load: Load
@@ -75,7 +75,7 @@
     """
 
     flow: int
-    question: int
+    query_id: int
     accepted: bool
     home: str
     home_incarnation: int
--- a/packages/cornelspan-common/src/cornelspan_common/requests.py
+++ b/packages/cornelspan-common/src/cornelspan_common/requests.py
@@ -72,7 +72,7 @@
     retry_after: float
 
 
-class AnswerTaken(Message, frozen=True, tag=46):
+class AnswerAck(Message, frozen=True, tag=46):
     """The caller has taken so many more bytes, so that the sender may go on."""
 
     number: int
@@ -114,7 +114,7 @@
 class KeyClaim(Message, frozen=True, tag=47):
     """Asks the receiver to record a claim on a key, unless it knows another."""
 
-    question: int
+    query_id: int
     record: KeyRecord
 
 
@@ -122,13 +122,13 @@
     """Answer to a claim.
 
     ``verdict`` says whether it was recorded, ``known`` is the record in its way, and
-    ``electorate`` the agents whose votes count, as the sender sees it.
+    ``voters`` the agents whose votes count, as the sender sees it.
     """
 
-    question: int
+    query_id: int
     verdict: int
     known: KeyRecord | None
-    electorate: tuple[str, ...]
+    voters: tuple[str, ...]
     incarnation: int
 
 
@@ -148,7 +148,7 @@
 class KeySync(Message, frozen=True, tag=51):
     """An agent that has just started asks for all claims before it votes."""
 
-    question: int
+    query_id: int
     name: str
     incarnation: int
 
@@ -156,15 +156,15 @@
 class KeyRecords(Message, frozen=True, tag=52):
     """A part of the claims that were asked for, or that a leaving agent hands on.
 
-    ``ready`` tells whether the sender itself votes, ``earlier`` whether it knows of an
+    ``ready`` tells whether the sender itself votes, ``restart_seen`` whether it knows of an
     earlier life of the service, ``total`` how many records there are in all parts.
-    ``question`` is zero when nobody asked.
+    ``query_id`` is zero when nobody asked.
     """
 
-    question: int
+    query_id: int
     ready: bool
-    earlier: bool
-    electorate: tuple[str, ...]
+    restart_seen: bool
+    voters: tuple[str, ...]
     records: tuple[KeyRecord, ...]
     total: int
 
--- a/packages/cornelspan-common/src/cornelspan_common/service_levels.py
+++ b/packages/cornelspan-common/src/cornelspan_common/service_levels.py
@@ -31,7 +31,7 @@
     latencies: bytes
 
 
-class Sealed(Message, frozen=True, tag=87):
+class SealedMinute(Message, frozen=True, tag=87):
     """The receiver's minutes up to this one are in the store."""
 
     minute: int
--- a/packages/cornelspan-control/src/cornelspan_control/dispatch.py
+++ b/packages/cornelspan-control/src/cornelspan_control/dispatch.py
@@ -15,7 +15,7 @@
     Verdict,
 )
 from cornelspan_common.packets import Message
-from cornelspan_common.service_levels import Sealed, ServiceCounts
+from cornelspan_common.service_levels import SealedMinute, ServiceCounts
 from cornelspan_common.streams import Peer
 from cornelspan_control.failure_detection import FailureDetector, handle_suspect
 from cornelspan_control.plane import Plane, Subscriber
@@ -47,7 +47,7 @@
             detector.receive_verdict(message)
         case ServiceCounts() if plane.collect_counts is not None:
             peer.send(plane.collect_counts(message, peer.hello.datacentre))
-        case Sealed():
+        case SealedMinute():
             plane.on_sealed(message.minute)
         case StatusRequest():
             peer.send(status_of(plane))
--- a/packages/cornelspan-control/src/cornelspan_control/failure_detection.py
+++ b/packages/cornelspan-control/src/cornelspan_control/failure_detection.py
@@ -59,7 +59,7 @@
 
     def receive_verdict(self, verdict: Verdict) -> None:
         """Resolve the pending question that a verdict answers."""
-        answer = self.pending_verdicts.pop(verdict.question, None)
+        answer = self.pending_verdicts.pop(verdict.query_id, None)
         if answer is not None and not answer.done():
             answer.set_result(verdict.alive)
 
@@ -224,4 +224,4 @@
     alive = (recently_heard and plane.is_connected(suspect.name)) or await probe(
         plane, suspect
     )
-    peer.send(Verdict(suspect.question, alive))
+    peer.send(Verdict(suspect.query_id, alive))
--- a/packages/cornelspan-control/src/cornelspan_control/plane.py
+++ b/packages/cornelspan-control/src/cornelspan_control/plane.py
@@ -17,7 +17,7 @@
 )
 from cornelspan_common.logs import get_log
 from cornelspan_common.packets import Hello, Message
-from cornelspan_common.service_levels import Sealed, ServiceCounts
+from cornelspan_common.service_levels import SealedMinute, ServiceCounts
 from cornelspan_common.settings import DaemonSettings
 from cornelspan_common.streams import Peer
 from cornelspan_common.tasks import Tasks
@@ -96,7 +96,7 @@
     on_configuration: Callback
     tls: ssl.SSLContext | None = None
     send_to_relays: Callable[[Message], None] = lambda message: None
-    collect_counts: Callable[[ServiceCounts, str], Sealed] | None = None
+    collect_counts: Callable[[ServiceCounts, str], SealedMinute] | None = None
     on_sealed: Callable[[int], None] = lambda minute: None
     subscribers: dict[Peer, Subscriber] = field(default_factory=dict)
     last_heard: dict[str, float] = field(default_factory=dict)
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/handlers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/handlers.py
@@ -23,7 +23,7 @@
     owner, home = _answer_or_record_claim(state, claim)
     return ClaimAnswer(
         claim.flow,
-        claim.question,
+        claim.query_id,
         owner.name if owner else "",
         owner.incarnation if owner else 0,
         home.name if home else "",
@@ -164,7 +164,7 @@
     agent_id = state.agent_id
     return HandoffAnswer(
         handoff.packet.flow,
-        handoff.question,
+        handoff.query_id,
         accepted,
         home.name if home else "",
         home.incarnation if home else 0,
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
@@ -133,7 +133,7 @@
             An answer for each name, or an error for a peer that can't be reached, is
             gone or has not answered within ``CALL_TIMEOUT_SECONDS``.
         """
-        keys = [(name, message.question) for name in names]
+        keys = [(name, message.query_id) for name in names]
         loop = asyncio.get_running_loop()
         futures = [loop.create_future() for _ in keys]
         self.pending.update(zip(keys, futures, strict=True))
@@ -152,7 +152,7 @@
 
     def handle_answer(self, name: str, answer: Answer) -> None:
         """Complete the call that an answer belongs to; ignore a late answer."""
-        future = self.pending.get((name, answer.question))
+        future = self.pending.get((name, answer.query_id))
         if future is not None and not future.done():
             future.set_result(Ok(answer))
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/claims.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/claims.py
@@ -331,14 +331,14 @@
             known = self.key_store.find(claim.record.key, now)
         names = tuple(sorted(self.voters.names()))
         incarnation = self.voters.incarnation
-        self.send(sender, KeyVote(claim.question, vote, known, names, incarnation))
+        self.send(sender, KeyVote(claim.query_id, vote, known, names, incarnation))
 
     def _receive_vote(self, sender: str, message: KeyVote) -> None:
         """Count a vote, and add voters that only its sender knows."""
-        vote_round = self.rounds.get(message.question)
+        vote_round = self.rounds.get(message.query_id)
         if vote_round is None:
             return
-        unknown = set(message.electorate) - vote_round.voters
+        unknown = set(message.voters) - vote_round.voters
         vote_round.voters |= {
             name for name in unknown if name not in self.voters.left_incarnations
         }
@@ -368,7 +368,7 @@
         # this answer needs a majority that includes the new agent, or one of the agents
         # whose records it has received.
         self.voters.add_voter(sync.name, sync.incarnation)
-        self._send_records(sender, sync.question, now)
+        self._send_records(sender, sync.query_id, now)
 
     def _send_records(self, name: str, question: int, now: float) -> None:
         """Send all records to an agent, in several messages if needed."""
@@ -385,15 +385,15 @@
     def _receive_records(self, sender: str, records: KeyRecords, now: float) -> None:
         """Merge records, and note when an agent has sent all of its own."""
         self.key_store.merge(records.records, now)
-        if records.question != self.sync_number or not self.sync_number:
+        if records.query_id != self.sync_number or not self.sync_number:
             return
         self.records_received[sender] += len(records.records)
         if self.records_received[sender] == records.total:
             self.voters.record_sync(
                 sender,
                 ready=records.ready,
-                restart_seen=records.earlier,
-                others=records.electorate,
+                restart_seen=records.restart_seen,
+                others=records.voters,
             )
             self.voters.update_ready(now, self.voter_window())
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
@@ -19,7 +19,7 @@
     AnswerFailed,
     AnswerPart,
     AnswerStart,
-    AnswerTaken,
+    AnswerAck,
     RequestCancel,
     RequestPart,
     RequestStart,
@@ -174,7 +174,7 @@
                 self._receive_part(sender, message)
             case RequestCancel(number):
                 self._cancel(sender, number)
-            case AnswerTaken(number, size):
+            case AnswerAck(number, size):
                 received = self.incoming.get((sender, number))
                 if received is not None:
                     received.acknowledge(size)
@@ -243,7 +243,7 @@
                     caller_waiting = await sink.write(body)
                     if last:
                         return Ok(status)
-                    self.send_message(sent.name, AnswerTaken(number, len(body)))
+                    self.send_message(sent.name, AnswerAck(number, len(body)))
             if not caller_waiting:
                 self.send_message(sent.name, RequestCancel(number))
                 return Err(Failure(RequestOutcome.UNKNOWN, Reason.CANCELLED))
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -27,7 +27,7 @@
 
 
 def without_question(message):
-    return msgspec.structs.replace(message, question=0)
+    return msgspec.structs.replace(message, query_id=0)
 
 
 def comparable(item):
