--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -167,7 +167,7 @@
         peers = self.members.of_service(self.settings.service)
         others = [peer for peer in peers if peer.name != self.settings.name]
         for other in others:
-            self.agents.want(other.name, Address(host=other.host, port=other.port))
+            self.agents.keep_open(other.name, Address(host=other.host, port=other.port))
         self.agents.keep_only({other.name for other in others})
 
     async def leave(self) -> None:
@@ -293,7 +293,7 @@
             ) as running_agent.server,
         ):
             for address in settings.fabrics:
-                running_agent.fabrics.want(str(address), address)
+                running_agent.fabrics.keep_open(str(address), address)
             tasks.start(
                 running_agent.flows.sweep(lambda: running_agent.profile.idle_seconds),
                 name="sweep",
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
@@ -119,9 +119,9 @@
         """Keep a stream to each known agent; drop others and their learned flows."""
         agents = [m for m in self.members.known.values() if m.role == "agent"]
         for agent in agents:
-            self.agents.want(agent.name, Address(host=agent.host, port=agent.port))
+            self.agents.keep_open(agent.name, Address(host=agent.host, port=agent.port))
         names = {agent.name for agent in agents}
-        for name in set(self.agents.wanted) - names:
+        for name in set(self.agents.targets) - names:
             self.forwarder.learned.forget_owner(name)
         self.agents.keep_only(names)
 
@@ -138,7 +138,7 @@
         while time.monotonic() < deadline and not self.is_ready:
             await asyncio.sleep(JOIN_POLL_SECONDS)
         for address in self.settings.fabrics:
-            self.fabrics.want(str(address), address)
+            self.fabrics.keep_open(str(address), address)
 
     @property
     def is_ready(self) -> bool:
@@ -146,7 +146,7 @@
 
         False while no agent is known.
         """
-        wanted_count = len(self.agents.wanted)
+        wanted_count = len(self.agents.targets)
         all_connected = wanted_count > 0 and len(self.agents.open) == wanted_count
         return all_connected and self.configuration.revision > 0
 
--- a/packages/cornelspan-common/src/cornelspan_common/links.py
+++ b/packages/cornelspan-common/src/cornelspan_common/links.py
@@ -45,7 +45,7 @@
         self.tasks = tasks
         self.handle = handle
         self.tls = tls
-        self.wanted: dict[str, tuple[Address, asyncio.Task]] = {}
+        self.targets: dict[str, tuple[Address, asyncio.Task]] = {}
         self.open: dict[str, Peer] = {}
         self.version = 0
 
@@ -53,28 +53,28 @@
         """Return the open stream to a process, if there is one."""
         return self.open.get(name)
 
-    def want(self, key: str, address: Address) -> None:
+    def keep_open(self, key: str, address: Address) -> None:
         """Keep a stream open to an address; a changed address replaces the old."""
-        known = self.wanted.get(key)
+        known = self.targets.get(key)
         if known is not None:
             if known[0] == address:
                 return
             self.drop(key)
-        task = self.tasks.start(self._hold(address), name=f"link to {key}")
-        self.wanted[key] = (address, task)
+        task = self.tasks.start(self._keep_connected(address), name=f"link to {key}")
+        self.targets[key] = (address, task)
 
     def drop(self, key: str) -> None:
         """Close the stream of a key and open it no more."""
-        known = self.wanted.pop(key, None)
+        known = self.targets.pop(key, None)
         if known is not None:
             known[1].cancel()
 
     def keep_only(self, keys: set[str]) -> None:
         """Drop every stream whose key is not among these."""
-        for key in set(self.wanted) - keys:
+        for key in set(self.targets) - keys:
             self.drop(key)
 
-    async def _hold(self, address: Address) -> None:
+    async def _keep_connected(self, address: Address) -> None:
         """Connect, hand the stream to the handler, and begin again when it ends."""
         wait = self.settings.reconnect_seconds
         while True:
@@ -84,14 +84,14 @@
                 match opened:
                     case Ok(peer):
                         wait = self.settings.reconnect_seconds
-                        await self._use(peer)
+                        await self._run_handler(peer)
                     case Err(error):
                         log.debug("no stream", extra={"why": str(error)})
             # Without jitter all that lost the same process come back at one moment.
             await asyncio.sleep(wait * random.uniform(0.5, 1.5))
             wait = min(MAXIMUM_RECONNECT_SECONDS, 2 * wait)
 
-    async def _use(self, peer: Peer) -> None:
+    async def _run_handler(self, peer: Peer) -> None:
         self.open[peer.name] = peer
         self.version += 1
         try:
--- a/packages/cornelspan-control/src/cornelspan_control/relay_links.py
+++ b/packages/cornelspan-control/src/cornelspan_control/relay_links.py
@@ -102,7 +102,7 @@
             member = self.plane.members.known[name]
             self._update_scope(name, scope)
             self.last_heard.setdefault(name, now)
-            self.links.want(name, Address(host=member.host, port=member.port))
+            self.links.keep_open(name, Address(host=member.host, port=member.port))
         for name in set(self.last_heard) - set(wanted):
             del self.last_heard[name]
             self.scopes.pop(name, None)
--- a/packages/cornelspan-standins/src/cornelspan_standins/_measured.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_measured.py
@@ -104,10 +104,10 @@
             listen = agent_settings(plan, SERVICE, number).listen
             name = f"{SERVICE}-{number + 1}"
             members.announce(_announce(name, listen))
-            state.agents.want(name, listen)
+            state.agents.keep_open(name, listen)
         while len(state.agents.open) < AGENTS:
             await asyncio.sleep(0.01)
-        state.fabrics.want("fabric", fabric_settings(plan).listen)
+        state.fabrics.keep_open("fabric", fabric_settings(plan).listen)
         await _input_closed()
 
 
