--- a/packages/cornelspan-balancer/src/cornelspan_balancer/forwarding.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/forwarding.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from cornelspan_common.learned import Learned
+from cornelspan_common.learned import OwnerCache
 from cornelspan_common.links import Links
 from cornelspan_common.packets import Hint, Packet, Routed
 from cornelspan_common.streams import Peer
@@ -65,7 +65,7 @@
         self.members = members
         self.links = links
         self.ranking = Ranking(members)
-        self.learned = Learned(learned_flows)
+        self.learned = OwnerCache(learned_flows)
         self.routes: dict[int, Route] = {}
         self.routes_version = (-1, -1, -1)
         self.counts = ForwardingCounts()
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
@@ -15,7 +15,7 @@
 from result import Err, Ok
 
 from cornelspan_common.logs import get_log
-from cornelspan_common.metrics import Labelled
+from cornelspan_common.metrics import LabelledValue
 from cornelspan_common.service_levels import MINUTE_SECONDS, SealedMinute, ServiceCounts
 from cornelspan_control.burn import Burn, Series, burn_of, merge_series
 from cornelspan_control.configuration import Configuration
@@ -87,18 +87,18 @@
         self.firing = firing
         return changes
 
-    def rates(self) -> list[Labelled]:
+    def rates(self) -> list[LabelledValue]:
         """Return the burn rates by service and window, as metric values."""
         return [
-            Labelled({"service": service, "window": window}, rate)
+            LabelledValue({"service": service, "window": window}, rate)
             for service, burn in self.burns.items()
             for window, rate in burn.rates.items()
         ]
 
-    def alerts(self) -> list[Labelled]:
+    def alerts(self) -> list[LabelledValue]:
         """Return the firing alerts by service and name, as metric values."""
         return [
-            Labelled({"service": service, "alert": alert}, 1)
+            LabelledValue({"service": service, "alert": alert}, 1)
             for service, alert in sorted(self.firing)
         ]
 
--- a/packages/cornelspan-common/src/cornelspan_common/bounded_logs.py
+++ b/packages/cornelspan-common/src/cornelspan_common/bounded_logs.py
@@ -20,17 +20,17 @@
 BURST_LINES = 2000.0
 # Lines on records of others that can't be used. Ten show what they are; a writer that
 # goes on sending them fills the log by a line each two seconds, and a metric counts.
-COMPLAINTS_PER_SECOND = 0.5
-BURST_COMPLAINTS = 10.0
+INVALID_RECORD_LINES_PER_SECOND = 0.5
+BURST_INVALID_RECORD_LINES = 10.0
 
 
-def complaint_bucket() -> TokenBucket:
+def invalid_record_bucket() -> TokenBucket:
     """Return what bounds the lines on records of others that can't be used.
 
     Warnings pass the handler's own bound, so whoever sends broken records could flood
     the log by them.
     """
-    return TokenBucket(COMPLAINTS_PER_SECOND, BURST_COMPLAINTS)
+    return TokenBucket(INVALID_RECORD_LINES_PER_SECOND, BURST_INVALID_RECORD_LINES)
 
 
 class BoundedHandler(logging.Handler):
@@ -49,8 +49,8 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one line, or drop and count it."""
-        is_alarm = record.levelno >= logging.WARNING
-        if not self.budget.take(1, time.monotonic()) and not is_alarm:
+        is_warning = record.levelno >= logging.WARNING
+        if not self.budget.take(1, time.monotonic()) and not is_warning:
             self.dropped += 1
             return
         if self.dropped:
--- a/packages/cornelspan-common/src/cornelspan_common/calls.py
+++ b/packages/cornelspan-common/src/cornelspan_common/calls.py
@@ -43,7 +43,7 @@
         self.rate = calls_per_second
         self.tokens = max(1.0, calls_per_second * BURST_SECONDS)
         self.burst = self.tokens
-        self.filled = time.monotonic()
+        self.filled_at = time.monotonic()
         self.random = random.Random(seed)
 
     async def take(self, wait_seconds: float) -> bool:
@@ -65,9 +65,9 @@
 
     def _fill(self) -> None:
         now = time.monotonic()
-        grown = self.tokens + (now - self.filled) * self.rate
+        grown = self.tokens + (now - self.filled_at) * self.rate
         self.tokens = min(self.burst, grown)
-        self.filled = now
+        self.filled_at = now
 
 
 class NumericResolver(Resolver):
@@ -148,7 +148,7 @@
         fetching = self.http.fetch(request, raise_error=False)
         # Tornado logs an error for a call that is cancelled while it runs, as the watch
         # is at each orderly stop. So the call itself runs on until the client closes.
-        fetching.add_done_callback(_retrieve)
+        fetching.add_done_callback(_retrieve_exception)
         try:
             return Ok(await asyncio.shield(fetching))
         except (ConnectionRefusedError, ssl.SSLError) as error:
@@ -159,6 +159,6 @@
             return Err(error)
 
 
-def _retrieve(fetching: asyncio.Future[HTTPResponse]) -> None:
+def _retrieve_exception(fetching: asyncio.Future[HTTPResponse]) -> None:
     if not fetching.cancelled():
         fetching.exception()
--- a/packages/cornelspan-common/src/cornelspan_common/expiring.py
+++ b/packages/cornelspan-common/src/cornelspan_common/expiring.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-LIMIT = 100_000
+MAX_ENTRIES = 100_000
 
 Value = TypeVar("Value")
 
@@ -22,14 +22,14 @@
     used_at: float
 
 
-class Expiring(Generic[Value]):
+class ExpiringMap(Generic[Value]):
     """Flow to value; bounded, and forgotten after a time without use.
 
     The dictionary keeps the order of use, so both bounds look at its first entries
     only.
     """
 
-    def __init__(self, *, idle_seconds: float, limit: int = LIMIT) -> None:
+    def __init__(self, *, idle_seconds: float, limit: int = MAX_ENTRIES) -> None:
         self.idle_seconds = idle_seconds
         self.limit = limit
         self.entries: OrderedDict[int, Entry[Value]] = OrderedDict()
--- a/packages/cornelspan-common/src/cornelspan_common/learned.py
+++ b/packages/cornelspan-common/src/cornelspan_common/learned.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict
 
 
-class Learned:
+class OwnerCache:
     """Flow to owner, least recently used first."""
 
     def __init__(self, limit: int) -> None:
--- a/packages/cornelspan-common/src/cornelspan_common/metrics.py
+++ b/packages/cornelspan-common/src/cornelspan_common/metrics.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Labelled:
+class LabelledValue:
     """One value of a metric that has several, told apart by labels."""
 
     labels: dict[str, str]
@@ -49,7 +49,7 @@
         )
 
     def labelled_gauge(
-        self, name: str, description: str, readings: Callable[[], list[Labelled]]
+        self, name: str, description: str, readings: Callable[[], list[LabelledValue]]
     ) -> None:
         """Register a metric with one value for each set of labels."""
 
--- a/packages/cornelspan-common/src/cornelspan_common/pump.py
+++ b/packages/cornelspan-common/src/cornelspan_common/pump.py
@@ -10,7 +10,7 @@
 
 from cornelspan_common.channel import SEGMENT_BYTES, Channel
 
-LOST = (ConnectionError, OSError, RuntimeError)
+STREAM_ERRORS = (ConnectionError, OSError, RuntimeError)
 
 
 async def pump(
@@ -31,7 +31,7 @@
         inward.cancel()
         outward.cancel()
         await asyncio.gather(inward, outward, return_exceptions=True)
-        _end(channel, writer)
+        _close_stream(channel, writer)
 
 
 async def _to_channel(channel: Channel, reader: asyncio.StreamReader) -> None:
@@ -39,7 +39,7 @@
         while data := await reader.read(SEGMENT_BYTES):
             if (await channel.write(data)).is_err():
                 return
-    except LOST as error:
+    except STREAM_ERRORS as error:
         channel.reset(f"stream broke: {type(error).__name__}")
         return
     await channel.close_write()
@@ -57,13 +57,13 @@
             await writer.drain()
         if writer.can_write_eof():
             writer.write_eof()
-    except LOST as error:
+    except STREAM_ERRORS as error:
         channel.reset(f"stream broke: {type(error).__name__}")
 
 
-def _end(channel: Channel, writer: asyncio.StreamWriter) -> None:
+def _close_stream(channel: Channel, writer: asyncio.StreamWriter) -> None:
     if channel.error is not None:
         writer.transport.abort()
         return
-    with contextlib.suppress(*LOST):
+    with contextlib.suppress(*STREAM_ERRORS):
         writer.close()
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/directory.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/directory.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from cornelspan_common.expiring import LIMIT, Expiring
+from cornelspan_common.expiring import MAX_ENTRIES, ExpiringMap
 
 ENDED_FLOW_SECONDS = 15.0
 
@@ -22,7 +22,7 @@
     incarnation: int
 
 
-class FlowAgents(Expiring[AgentId]):
+class FlowAgents(ExpiringMap[AgentId]):
     """Map flows to agents; entries expire when they are not used."""
 
     def drop_agent(self, name: str, last_incarnation: int) -> list[int]:
@@ -54,7 +54,7 @@
     late packet is neither forwarded to all candidates nor opens the flow again.
     """
 
-    def __init__(self, *, idle_seconds: float, limit: int = LIMIT) -> None:
+    def __init__(self, *, idle_seconds: float, limit: int = MAX_ENTRIES) -> None:
         self.owners = FlowAgents(idle_seconds=idle_seconds, limit=limit)
         self.homes = FlowAgents(idle_seconds=idle_seconds, limit=limit)
         self.ended = FlowAgents(idle_seconds=ENDED_FLOW_SECONDS, limit=limit)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from cornelspan_common.bounded_logs import complaint_bucket
+from cornelspan_common.bounded_logs import invalid_record_bucket
 from cornelspan_common.ejection import EjectionState
-from cornelspan_common.expiring import Expiring
+from cornelspan_common.expiring import ExpiringMap
 from cornelspan_common.logs import get_log, set_level
 from cornelspan_passthrough import messages
 from cornelspan_passthrough.datagrams import DatagramSocket
@@ -111,10 +111,10 @@
         settings = self.settings
         retention_seconds = settings.flow_seconds * RETENTION_FACTOR
         self.flows = FlowTable(retention_seconds)
-        self.owner_records: Expiring[int] = Expiring(idle_seconds=retention_seconds)
+        self.owner_records: ExpiringMap[int] = ExpiringMap(idle_seconds=retention_seconds)
         self.request_queue = RequestQueue()
         self.outlier_detector = EjectionState()
-        self.log_rate_limit = complaint_bucket()
+        self.log_rate_limit = invalid_record_bucket()
         self.waiting_times = Histogram()
         self.endpoint = Endpoint(
             settings.service, settings.report_milliseconds / 1000, self.started_at
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from cornelspan_common.bounded_logs import complaint_bucket
-from cornelspan_common.learned import Learned
+from cornelspan_common.bounded_logs import invalid_record_bucket
+from cornelspan_common.learned import OwnerCache
 from cornelspan_common.logs import get_log, set_level
 from cornelspan_common.tokens import TokenBucket
 from cornelspan_passthrough import messages
@@ -86,10 +86,10 @@
     pings: int = 0
 
     def __post_init__(self) -> None:
-        self.owners = Learned(self.settings.learned_flows)
+        self.owners = OwnerCache(self.settings.learned_flows)
         self.search_times = Histogram()
         self.silences = Silences()
-        self.complaints = complaint_bucket()
+        self.complaints = invalid_record_bucket()
         self.questions = TokenBucket(QUESTIONS_PER_SECOND, QUESTIONS_PER_SECOND)
         self.pulses = Pulses(self.settings.pulse.missed_pings)
         self.client_port = socket_address(self.settings.packets)[1]
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -1,10 +1,10 @@
 """The balancer's cache of owners: bounded, and it forgets."""
 
-from cornelspan_common.learned import Learned
+from cornelspan_common.learned import OwnerCache
 
 
 def test_least_recently_used_goes_first():
-    learned = Learned(limit=2)
+    learned = OwnerCache(limit=2)
     learned.learn(1, "a")
     learned.learn(2, "b")
     learned.owner(1)
@@ -14,7 +14,7 @@
 
 
 def test_empty_hint_and_gone_owner_forget():
-    learned = Learned(limit=10)
+    learned = OwnerCache(limit=10)
     for flow in range(4):
         learned.learn(flow, "a" if flow % 2 else "b")
     learned.learn(1, "")
