--- a/packages/cornelspan-common/src/cornelspan_common/_sending.py
+++ b/packages/cornelspan-common/src/cornelspan_common/_sending.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass
 from itertools import takewhile
 
-MINIMUM_TIMEOUT = 0.03
-MAXIMUM_TIMEOUT = 2.0
-FIRST_TIMEOUT = 0.2
-MAXIMUM_TIMEOUTS = 16
-FIRST_PACKETS = 10
-LEAST_PACKETS = 4
-MOST_PACKETS = 128
+MIN_TIMEOUT_SECONDS = 0.03
+MAX_TIMEOUT_SECONDS = 2.0
+INITIAL_TIMEOUT_SECONDS = 0.2
+MAX_TIMEOUTS = 16
+INITIAL_WINDOW_PACKETS = 10
+MIN_WINDOW_PACKETS = 4
+MAX_WINDOW_PACKETS = 128
 REORDER_SECONDS = 0.004
 
 
@@ -20,7 +20,7 @@
     kind: int
     body: bytes
     sent_at: float
-    tries: int = 1
+    attempts: int = 1
 
 
 class Sending:
@@ -29,15 +29,15 @@
     def __init__(self) -> None:
         self.next_sequence = 1
         self.unacknowledged: dict[int, Segment] = {}
-        self.bytes_under_way = 0
-        self.peer_window = FIRST_PACKETS * 16384
-        self.packets_allowed = float(FIRST_PACKETS)
-        self.smoothed = 0.0
-        self.variation = 0.0
-        self.timeout = FIRST_TIMEOUT
+        self.bytes_in_flight = 0
+        self.peer_window = INITIAL_WINDOW_PACKETS * 16384
+        self.congestion_window = float(INITIAL_WINDOW_PACKETS)
+        self.smoothed_rtt = 0.0
+        self.rtt_variation = 0.0
+        self.timeout = INITIAL_TIMEOUT_SECONDS
         self.newest_sent_at = 0.0
         self.timeouts = 0
-        self.highest_upto = 0
+        self.highest_acknowledged = 0
         self.closed = False
 
     @property
@@ -53,23 +53,23 @@
         """
         if not self.unacknowledged:
             return True
-        if len(self.unacknowledged) >= self.packets_allowed:
+        if len(self.unacknowledged) >= self.congestion_window:
             return False
-        return self.bytes_under_way + size <= self.peer_window
+        return self.bytes_in_flight + size <= self.peer_window
 
     def add(self, kind: int, body: bytes, now: float) -> int:
         """Note a new packet as sent and return its sequence."""
         sequence = self.next_sequence
         self.next_sequence += 1
         self.unacknowledged[sequence] = Segment(kind, body, now)
-        self.bytes_under_way += len(body)
+        self.bytes_in_flight += len(body)
         return sequence
 
-    def repeated(self, sequence: int, now: float) -> Segment:
+    def mark_retransmitted(self, sequence: int, now: float) -> Segment:
         """Note a packet as sent again and return it."""
         segment = self.unacknowledged[sequence]
         segment.sent_at = now
-        segment.tries += 1
+        segment.attempts += 1
         return segment
 
     def acknowledge(
@@ -86,19 +86,23 @@
         Returns:
             Sequences that are lost: another sent clearly later has arrived.
         """
-        if upto >= self.highest_upto:
+        if upto >= self.highest_acknowledged:
             # An answer that was overtaken tells of a window that has been used since;
             # believed, it would let more be sent than the peer can hold.
-            self.highest_upto = upto
+            self.highest_acknowledged = upto
             self.peer_window = window
-        done = list(takewhile(lambda sequence: sequence <= upto, self.unacknowledged))
-        done += [s for s in selective if s in self.unacknowledged and s > upto]
-        if not done:
+        newly_acknowledged = list(
+            takewhile(lambda sequence: sequence <= upto, self.unacknowledged)
+        )
+        newly_acknowledged += [
+            s for s in selective if s in self.unacknowledged and s > upto
+        ]
+        if not newly_acknowledged:
             return []
         self.timeouts = 0
-        for sequence in done:
-            self._arrived(self.unacknowledged.pop(sequence), now)
-        return self._lost()
+        for sequence in newly_acknowledged:
+            self._record_acknowledged(self.unacknowledged.pop(sequence), now)
+        return self._lost_sequences()
 
     def time_out(self) -> int | None:
         """Back off after a time-out.
@@ -107,40 +111,44 @@
             The oldest sequence, to be sent again; None if the peer is lost.
         """
         self.timeouts += 1
-        if self.timeouts > MAXIMUM_TIMEOUTS:
+        if self.timeouts > MAX_TIMEOUTS:
             return None
-        self.timeout = min(MAXIMUM_TIMEOUT, self.timeout * 2)
-        self.packets_allowed = max(LEAST_PACKETS, self.packets_allowed / 2)
+        self.timeout = min(MAX_TIMEOUT_SECONDS, self.timeout * 2)
+        self.congestion_window = max(MIN_WINDOW_PACKETS, self.congestion_window / 2)
         return min(self.unacknowledged)
 
-    def _arrived(self, segment: Segment, now: float) -> None:
-        self.bytes_under_way -= len(segment.body)
-        self.packets_allowed = min(
-            MOST_PACKETS, self.packets_allowed + 1 / self.packets_allowed
+    def _record_acknowledged(self, segment: Segment, now: float) -> None:
+        self.bytes_in_flight -= len(segment.body)
+        self.congestion_window = min(
+            MAX_WINDOW_PACKETS, self.congestion_window + 1 / self.congestion_window
         )
         self.newest_sent_at = max(self.newest_sent_at, segment.sent_at)
-        if segment.tries == 1:
+        if segment.attempts == 1:
             # A repeated packet's answer may be to either copy, so it says nothing of
             # the round trip (Karn's rule).
-            self._measure(now - segment.sent_at)
+            self._update_timeout(now - segment.sent_at)
 
-    def _measure(self, round_trip: float) -> None:
+    def _update_timeout(self, round_trip: float) -> None:
         """RFC 6298, with a floor that fits data centres."""
-        if self.smoothed == 0.0:
-            self.smoothed = round_trip
-            self.variation = round_trip / 2
+        if self.smoothed_rtt == 0.0:
+            self.smoothed_rtt = round_trip
+            self.rtt_variation = round_trip / 2
         else:
-            self.variation += (abs(self.smoothed - round_trip) - self.variation) / 4
-            self.smoothed += (round_trip - self.smoothed) / 8
-        wanted = self.smoothed + 4 * self.variation
-        self.timeout = min(MAXIMUM_TIMEOUT, max(MINIMUM_TIMEOUT, wanted))
+            self.rtt_variation += (
+                abs(self.smoothed_rtt - round_trip) - self.rtt_variation
+            ) / 4
+            self.smoothed_rtt += (round_trip - self.smoothed_rtt) / 8
+        timeout_seconds = self.smoothed_rtt + 4 * self.rtt_variation
+        self.timeout = min(
+            MAX_TIMEOUT_SECONDS, max(MIN_TIMEOUT_SECONDS, timeout_seconds)
+        )
 
-    def _lost(self) -> list[int]:
+    def _lost_sequences(self) -> list[int]:
         """Packets sent so long before one that arrived that they can't be on the way.
 
         The fabric sprays packets over balancers, so some overtake others. Counting
         three later arrivals, as older TCP does, would repeat much that is not lost.
         """
-        slack = max(REORDER_SECONDS, self.smoothed / 4)
-        limit = self.newest_sent_at - slack
+        reorder_window = max(REORDER_SECONDS, self.smoothed_rtt / 4)
+        limit = self.newest_sent_at - reorder_window
         return [s for s, seg in self.unacknowledged.items() if seg.sent_at < limit]
--- a/packages/cornelspan-common/src/cornelspan_common/channel.py
+++ b/packages/cornelspan-common/src/cornelspan_common/channel.py
@@ -23,12 +23,12 @@
 from cornelspan_common.packets import Kind, Packet
 
 BUFFER_BYTES = 262_144
-EARLY_PACKETS = 256
+MAX_OUT_OF_ORDER_PACKETS = 256
 SEGMENT_BYTES = 16_384
-SELECTIVE_ENTRIES = 32
-OPEN_SECONDS = 0.1
-OPEN_LIMIT_SECONDS = 1.0
-OPEN_TRIES = 14
+MAX_SELECTIVE_ENTRIES = 32
+OPEN_RETRY_SECONDS = 0.1
+MAX_OPEN_RETRY_SECONDS = 1.0
+OPEN_ATTEMPTS = 14
 
 Transmit = Callable[[Packet], None]
 
@@ -69,13 +69,13 @@
         self.sending = Sending()
         self.timer: asyncio.TimerHandle | None = None
         self.expected = 1
-        self.early: dict[int, Packet] = {}
-        self.early_bytes = 0
+        self.out_of_order: dict[int, Packet] = {}
+        self.out_of_order_bytes = 0
         self.ready: deque[bytes] = deque()
         self.ready_bytes = 0
         self.close_received = False
         self.close_read = False
-        self.acknowledging = False
+        self.ack_scheduled = False
         self.accepted = False
         self.owner = b""
         self.error: FlowError | None = None
@@ -93,7 +93,7 @@
     @property
     def window(self) -> int:
         """Bytes that can still be taken from the peer."""
-        return max(0, BUFFER_BYTES - self.ready_bytes - self.early_bytes)
+        return max(0, BUFFER_BYTES - self.ready_bytes - self.out_of_order_bytes)
 
     async def open(self) -> Result[None, FlowError]:
         """Ask for an owner until one accepts; nothing else is sent before.
@@ -101,12 +101,12 @@
         Returns:
             ``FlowError`` if the flow is refused, or nobody answers in time.
         """
-        wait = OPEN_SECONDS
-        for _ in range(OPEN_TRIES):
+        wait = OPEN_RETRY_SECONDS
+        for _ in range(OPEN_ATTEMPTS):
             self.transmit(self._packet(Kind.OPEN, 0, self.caller.encode()))
             if await self._wait_for(lambda: self.accepted, wait):
                 return Err(self.error) if self.error is not None else Ok(None)
-            wait = min(OPEN_LIMIT_SECONDS, 2 * wait)
+            wait = min(MAX_OPEN_RETRY_SECONDS, 2 * wait)
         self.reset("no answer to open")
         return Err(FlowError(self.flow, "no answer to open"))
 
@@ -173,9 +173,9 @@
             packet.acknowledged, packet.selective, packet.window, self.last_received
         )
         for segment in lost:
-            self._repeat(segment)
+            self._retransmit(segment)
         if packet.kind in (Kind.DATA, Kind.CLOSE):
-            self._take(packet)
+            self._receive_data(packet)
         self._restart_timer()
         self.changed.set()
 
@@ -196,7 +196,7 @@
 
     def acknowledge(self) -> None:
         """Tell the peer what has come, and what can still come."""
-        self.acknowledging = False
+        self.ack_scheduled = False
         if self.error is None:
             self.transmit(self._packet(Kind.ACK, 0, b""))
 
@@ -237,12 +237,16 @@
         if self.timer is None:
             self._restart_timer()
 
-    def _repeat(self, sequence: int) -> None:
-        segment = self.sending.repeated(sequence, self.loop.time())
+    def _retransmit(self, sequence: int) -> None:
+        segment = self.sending.mark_retransmitted(sequence, self.loop.time())
         self.transmit(self._packet(segment.kind, sequence, segment.body))
 
     def _packet(self, kind: int, sequence: int, body: bytes) -> Packet:
-        early = tuple(sorted(self.early)[:SELECTIVE_ENTRIES]) if self.early else ()
+        selective = (
+            tuple(sorted(self.out_of_order)[:MAX_SELECTIVE_ENTRIES])
+            if self.out_of_order
+            else ()
+        )
         self.last_window = self.window
         return Packet(
             int(kind),
@@ -251,36 +255,36 @@
             self.fabric,
             sequence,
             self.expected - 1,
-            early,
+            selective,
             self.last_window,
             body,
         )
 
-    def _take(self, packet: Packet) -> None:
+    def _receive_data(self, packet: Packet) -> None:
         """Put a packet in its place; what fills a gap makes the early ones ready."""
         self._acknowledge_soon()
         self.last_data = self.last_received
-        if packet.sequence < self.expected or packet.sequence in self.early:
+        if packet.sequence < self.expected or packet.sequence in self.out_of_order:
             return
         if packet.sequence > self.expected:
-            self._keep_early(packet)
+            self._buffer_out_of_order(packet)
             return
         if len(packet.body) > self.window and self.ready:
             # A sender may try one packet at a closed window to learn when it opens.
             # Kept, it would pass the bound; dropped, it comes again after a time-out.
             return
         self._deliver(packet)
-        while self.expected in self.early:
-            early = self.early.pop(self.expected)
-            self.early_bytes -= len(early.body)
-            self._deliver(early)
+        while self.expected in self.out_of_order:
+            next_packet = self.out_of_order.pop(self.expected)
+            self.out_of_order_bytes -= len(next_packet.body)
+            self._deliver(next_packet)
 
-    def _keep_early(self, packet: Packet) -> None:
+    def _buffer_out_of_order(self, packet: Packet) -> None:
         """Keep a packet that overtook others, within the bounds."""
         fits = len(packet.body) <= self.window
-        if fits and len(self.early) < EARLY_PACKETS:
-            self.early[packet.sequence] = packet
-            self.early_bytes += len(packet.body)
+        if fits and len(self.out_of_order) < MAX_OUT_OF_ORDER_PACKETS:
+            self.out_of_order[packet.sequence] = packet
+            self.out_of_order_bytes += len(packet.body)
 
     def _deliver(self, packet: Packet) -> None:
         self.expected += 1
@@ -291,8 +295,8 @@
             self.ready_bytes += len(packet.body)
 
     def _acknowledge_soon(self) -> None:
-        if not self.acknowledging:
-            self.acknowledging = True
+        if not self.ack_scheduled:
+            self.ack_scheduled = True
             self.loop.call_soon(self.acknowledge)
 
     def _reopen_window(self) -> None:
@@ -316,7 +320,7 @@
             # wait for ever.
             self.reset("peer lost")
             return
-        self._repeat(sequence)
+        self._retransmit(sequence)
         self._restart_timer()
 
     def _fail(self, reason: str) -> None:
@@ -324,7 +328,7 @@
             self.error = FlowError(self.flow, reason)
             if self.on_error is not None:
                 self.on_error()
-        self.early.clear()
+        self.out_of_order.clear()
         self.sending.unacknowledged.clear()
         if self.timer is not None:
             self.timer.cancel()
--- a/packages/cornelspan-common/src/cornelspan_common/messages.py
+++ b/packages/cornelspan-common/src/cornelspan_common/messages.py
@@ -28,10 +28,10 @@
 )
 from cornelspan_common.packets import Hello, Hint, Leaving, Packet, Routed
 from cornelspan_common.requests import (
+    AnswerAck,
     AnswerFailed,
     AnswerPart,
     AnswerStart,
-    AnswerAck,
     KeyClaim,
     KeyDone,
     KeyLeave,
--- a/packages/cornelspan-common/src/cornelspan_common/requests.py
+++ b/packages/cornelspan-common/src/cornelspan_common/requests.py
@@ -154,11 +154,12 @@
 
 
 class KeyRecords(Message, frozen=True, tag=52):
-    """A part of the claims that were asked for, or that a leaving agent hands on.
+    """Some of an agent's key records, in answer to ``KeySync`` or before it leaves.
 
-    ``ready`` tells whether the sender itself votes, ``restart_seen`` whether it knows of an
-    earlier life of the service, ``total`` how many records there are in all parts.
-    ``query_id`` is zero when nobody asked.
+    ``ready`` tells whether the sender votes itself, ``restart_seen`` whether it knows
+    records from before a restart of the whole service, and ``total`` how many records
+    all parts have together. ``query_id`` is that of the ``KeySync``, or zero if there
+    was none.
     """
 
     query_id: int
--- a/packages/cornelspan-common/src/cornelspan_common/streams.py
+++ b/packages/cornelspan-common/src/cornelspan_common/streams.py
@@ -33,12 +33,12 @@
 LENGTH_BYTES = 4
 BATCH_MESSAGES = 512
 TURN_BYTES = 262_144
-LOSSY = (Packet, Routed)
+LOSSY_MESSAGES = (Packet, Routed)
 
 log = get_log(__name__)
 encoder = msgspec.msgpack.Encoder()
 batch_decoder = msgspec.msgpack.Decoder(list[AnyMessage])
-loose_decoder = msgspec.msgpack.Decoder(list[msgspec.Raw])
+raw_decoder = msgspec.msgpack.Decoder(list[msgspec.Raw])
 message_decoder = msgspec.msgpack.Decoder(AnyMessage)
 
 
@@ -88,7 +88,7 @@
             return False
         if len(self.outgoing) >= BATCH_MESSAGES:
             self.flush()
-        if isinstance(message, LOSSY) and self.full:
+        if isinstance(message, LOSSY_MESSAGES) and self.full:
             self.dropped += 1
             return False
         self.outgoing.append(message)
@@ -154,7 +154,7 @@
     A frame that is too long or no msgpack array ends the stream. A message that is none
     of ours is counted in ``peer.refused`` and left out, without harm to its neighbours.
     """
-    unpaused = 0
+    unpaused_bytes = 0
     while True:
         match await _read_frame(peer):
             case Ok(frame):
@@ -172,9 +172,9 @@
                 # count as unwritten and be dropped. A turn for the others after each
                 # frame would write as often as it reads, which costs a balancer more
                 # than forwarding does.
-                unpaused += len(frame)
-                if unpaused >= TURN_BYTES:
-                    unpaused = 0
+                unpaused_bytes += len(frame)
+                if unpaused_bytes >= TURN_BYTES:
+                    unpaused_bytes = 0
                     await asyncio.sleep(0)
             case Err(error):
                 peer.refused += 1
@@ -188,15 +188,15 @@
     try:
         return Ok((batch_decoder.decode(frame), 0))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-        return _decode_loosely(frame)
+        return _decode_one_by_one(frame)
 
 
-def _decode_loosely(
+def _decode_one_by_one(
     frame: bytes,
 ) -> Result[tuple[list[AnyMessage], int], FrameError]:
     """Decode message by message, so that one bad message costs only itself."""
     try:
-        parts = loose_decoder.decode(frame)
+        parts = raw_decoder.decode(frame)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         return Err(FrameError(str(error)))
     good: list[AnyMessage] = []
@@ -211,8 +211,8 @@
 async def _read_frame(peer: Peer) -> Result[bytes, StreamError | FrameError]:
     """Read one frame, whole."""
     try:
-        head = await peer.stream.read_bytes(LENGTH_BYTES)
-        length = int.from_bytes(head, "big")
+        length_field = await peer.stream.read_bytes(LENGTH_BYTES)
+        length = int.from_bytes(length_field, "big")
         if length > peer.settings.frame_bytes:
             peer.refused += 1
             peer.stream.close()
@@ -223,7 +223,7 @@
         return Err(StreamError(peer.name, "closed"))
 
 
-async def _greet(peer: Peer, hello: Hello) -> Result[Peer, StreamError]:
+async def _exchange_hellos(peer: Peer, hello: Hello) -> Result[Peer, StreamError]:
     """Exchange hellos; a peer of another protocol is refused."""
     peer.own_name = hello.name
     peer.send(hello)
@@ -234,8 +234,8 @@
         case Ok(frame):
             decoded = decode_batch(frame)
     match decoded:
-        case Ok(([Hello() as theirs], 0)) if theirs.protocol == hello.protocol:
-            peer.hello = theirs
+        case Ok(([Hello() as remote], 0)) if remote.protocol == hello.protocol:
+            peer.hello = remote
             return Ok(peer)
         case _:
             peer.close()
@@ -271,15 +271,17 @@
     stream.set_nodelay(True)
     peer = Peer(stream, settings)
     try:
-        yield await _greet_in_time(peer, hello)
+        yield await _exchange_hellos_in_time(peer, hello)
     finally:
         peer.close()
 
 
-async def _greet_in_time(peer: Peer, hello: Hello) -> Result[Peer, StreamError]:
+async def _exchange_hellos_in_time(
+    peer: Peer, hello: Hello
+) -> Result[Peer, StreamError]:
     try:
         async with asyncio.timeout(peer.settings.connect_seconds):
-            return await _greet(peer, hello)
+            return await _exchange_hellos(peer, hello)
     except TimeoutError:
         return Err(StreamError(peer.name, "no hello in time"))
 
@@ -308,7 +310,7 @@
         """Greet the peer, then hand it to the handler until either ends."""
         stream.set_nodelay(True)
         peer = Peer(stream, self.settings)
-        match await _greet_in_time(peer, self.hello):
+        match await _exchange_hellos_in_time(peer, self.hello):
             case Err(error):
                 log.info("peer refused", extra={"why": str(error)})
                 stream.close()
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
@@ -111,7 +111,9 @@
         settings = self.settings
         retention_seconds = settings.flow_seconds * RETENTION_FACTOR
         self.flows = FlowTable(retention_seconds)
-        self.owner_records: ExpiringMap[int] = ExpiringMap(idle_seconds=retention_seconds)
+        self.owner_records: ExpiringMap[int] = ExpiringMap(
+            idle_seconds=retention_seconds
+        )
         self.request_queue = RequestQueue()
         self.outlier_detector = EjectionState()
         self.log_rate_limit = invalid_record_bucket()
--- a/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
@@ -16,10 +16,10 @@
 
 from cornelspan_common.packets import Message
 from cornelspan_common.requests import (
+    AnswerAck,
     AnswerFailed,
     AnswerPart,
     AnswerStart,
-    AnswerAck,
     RequestCancel,
     RequestPart,
     RequestStart,
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -110,5 +110,5 @@
             Kind.DATA, 7, template.address, template.fabric, sequence, body=b"x"
         )
         right.receive(packet)
-    assert len(right.early) <= 256
+    assert len(right.out_of_order) <= 256
     right.stop()
