--- a/packages/cornelspan-common/src/cornelspan_common/control.py
+++ b/packages/cornelspan-common/src/cornelspan_common/control.py
@@ -4,10 +4,11 @@
 
 
 class Announce(Message, frozen=True, tag=60):
-    """A process says that it is there, how to reach it and what it does.
+    """A member of the fleet, announced by itself: its address, role and service.
 
-    ``service`` is "" for a balancer. ``leaving`` endpoints take no new flows but stay
-    reachable for the ones they have.
+    ``service`` is "" for a balancer. ``slots`` is how many requests the endpoint runs
+    at once. ``leaving`` is set while an agent drains: it takes no new flows and stays
+    reachable for those it has.
     """
 
     name: str
@@ -23,22 +24,22 @@
 
 
 class AnnounceList(Message, frozen=True, tag=61):
-    """All members that the sender knows."""
+    """Announcements of all members that the sender knows."""
 
     members: tuple[Announce, ...]
 
 
 class Gone(Message, frozen=True, tag=62):
-    """A member has left or died."""
+    """An incarnation of a member has left or died."""
 
     name: str
     incarnation: int
 
 
 class Heartbeat(Message, frozen=True, tag=63):
-    """The sender lives; ``revision`` is the configuration in force there.
+    """The sender is alive; ``revision`` is that of its configuration in force.
 
-    ``epoch`` is the newest epoch of the sender's data centre that it knows.
+    ``epoch`` is the newest epoch of its data centre that it knows.
     """
 
     name: str
@@ -48,11 +49,12 @@
 
 
 class Subscribe(Message, frozen=True, tag=64):
-    """The sender wants configuration and membership from now on.
+    """The sender subscribes to configuration and membership.
 
-    ``service`` narrows the members to one service's agents beside the balancers of the
-    sender's data centre, ``scope`` to one data centre; both "" is all. ``digests`` are
-    those of the sender's members by data centre, so that what is equal isn't sent.
+    If ``service`` is set, it gets only the agents of that service and the balancers of
+    its data centre; if ``scope`` is set, only the members of that data centre; all
+    members if both are "". ``digests`` has a digest of the members that it knows for
+    each data centre, so that those that are up to date aren't sent.
     """
 
     name: str
@@ -64,7 +66,7 @@
 
 
 class Membership(Message, frozen=True, tag=65):
-    """Members of one data centre that have come or gone, under its relay's epoch."""
+    """Members of a data centre that have joined or gone, under its relay's epoch."""
 
     datacentre: str
     epoch: int
@@ -73,15 +75,15 @@
 
 
 class RevisionRequest(Message, frozen=True, tag=66):
-    """The sender has ``revision`` in force and wants what is newer."""
+    """Requests what is newer than ``revision``, which is in force at the sender."""
 
     revision: int
 
 
 class Revision(Message, frozen=True, tag=67):
-    """A configuration: what changed since ``base``, or the whole when ``whole`` is set.
+    """A configuration: the changes since revision ``base``, or all if ``whole`` is set.
 
-    ``body`` is a msgpack-encoded delta or snapshot, encoded once for all receivers.
+    ``body`` is the msgpack-encoded delta or snapshot, encoded once for all receivers.
     """
 
     base: int
@@ -91,7 +93,11 @@
 
 
 class Suspect(Message, frozen=True, tag=68):
-    """A relay has not heard from a member and asks whether the receiver has."""
+    """A relay got no heartbeat of a member and asks the receiver to check it too.
+
+    ``query_id`` matches the ``Verdict`` to this message. ``host`` and ``port`` are the
+    member's address.
+    """
 
     query_id: int
     name: str
@@ -101,18 +107,21 @@
 
 
 class Verdict(Message, frozen=True, tag=69):
-    """Answer to ``Suspect``: whether that life of the member was reached."""
+    """Answer to ``Suspect``: whether that incarnation of the member is alive."""
 
     query_id: int
     alive: bool
 
 
 class StatusRequest(Message, frozen=True, tag=70):
-    """An operator's client asks a balancer what it knows of its data centre."""
+    """An operator's client requests the ``Status`` of a balancer."""
 
 
 class MemberStatus(Message, frozen=True, tag=71):
-    """One member as its relay sees it; ``silent_seconds`` is -1 if never heard."""
+    """One member as its relay sees it.
+
+    ``silent_seconds`` is the time since its last message, -1 if there was none.
+    """
 
     member: Announce
     revision: int
@@ -120,7 +129,7 @@
 
 
 class Status(Message, frozen=True, tag=72):
-    """What a balancer knows: of itself, and of its data centre if it is a relay."""
+    """Status of a balancer, and of its data centre's members if it is a relay."""
 
     name: str
     datacentre: str
--- a/packages/cornelspan-common/src/cornelspan_common/messages.py
+++ b/packages/cornelspan-common/src/cornelspan_common/messages.py
@@ -1,4 +1,4 @@
-"""The one union of all messages that a stream between two processes may carry.
+"""The union of all messages that a stream between two processes may carry.
 
 Tag ranges: packets 1-19, ownership 20-39, requests 40-59, control 60-89.
 """
--- a/packages/cornelspan-common/src/cornelspan_common/ownership.py
+++ b/packages/cornelspan-common/src/cornelspan_common/ownership.py
@@ -4,7 +4,11 @@
 
 
 class Claim(Message, frozen=True, tag=20):
-    """A home asks whether the receiver holds the flow, and records its claim there."""
+    """A home claims a flow: the receiver records the claim, or reports the owner or
+    home that it knows.
+
+    ``query_id`` matches the answer to this message; the same in ``Handoff``.
+    """
 
     service: str
     flow: int
@@ -16,9 +20,9 @@
 class ClaimAnswer(Message, frozen=True, tag=21):
     """Answer to a ``Claim``.
 
-    ``owner`` is the flow's owner as far as known, or "". ``home`` is an agent whose
-    claim on the flow the answering one has recorded, the answering one itself if it
-    goes on as home, or "" if the asker's claim stands.
+    ``owner`` is the flow's owner if the sender knows it, else "". ``home`` is "" if the
+    sender has recorded the claim. Otherwise it names the home that takes precedence:
+    the sender itself, or an agent whose claim it has recorded before.
     """
 
     flow: int
@@ -30,12 +34,12 @@
 
 
 class Load(Message, frozen=True, tag=24):
-    """An agent's own load, for the peers of its service.
+    """The load of an agent, sent to the other agents of its service.
 
-    ``slots`` is zero when it takes no new work, as while it drains. ``waiting`` holds
-    flows that were accepted and have sent nothing yet as well. ``mean_seconds`` is how
-    long a request holds a slot. ``urgent`` of those that wait go before requests whose
-    caller has lowered their priority.
+    ``slots`` is zero while it takes no new work, for example while it drains.
+    ``waiting`` includes accepted flows that have not sent a request yet.
+    ``mean_seconds`` is how long a request holds a slot. ``urgent`` counts the waiting
+    requests whose priority was not lowered by their caller.
     """
 
     service: str
@@ -52,9 +56,10 @@
 class Handoff(Message, frozen=True, tag=22):
     """A home asks another agent to become the owner of a new flow.
 
-    ``yielded`` names an agent that had claimed the flow and has yielded to ``home``,
-    or is gone. ``limit`` is how busy the receiver may be and still take it, -1 for any;
-    ``load`` is the home's own.
+    ``yielded`` names an agent whose claim on the flow no longer counts, because it has
+    yielded to ``home`` or is gone. The receiver accepts only if it has a free slot or
+    its running and waiting requests are at most ``limit``; -1 is no limit. ``load`` is
+    the home's own load.
     """
 
     service: str
@@ -68,10 +73,10 @@
 
 
 class HandoffAnswer(Message, frozen=True, tag=23):
-    """Whether the hand-off was taken.
+    """Whether the hand-off was accepted.
 
-    ``home`` names another home that has claimed the flow; ``load`` is the answering
-    agent's load with this flow counted.
+    ``home`` names another home that has claimed the flow, if that is why it was
+    rejected. ``load`` is the sender's load, this flow included.
     """
 
     flow: int
@@ -83,9 +88,9 @@
 
 
 class Owner(Message, frozen=True, tag=25):
-    """A directory entry: who owns a flow; "" when the flow has ended.
+    """A directory entry: the owner of a flow, "" when the flow has ended.
 
-    ``incarnation`` is the owner's, of the one that ended it too.
+    ``incarnation`` is that of the owner, also when the flow has ended.
     """
 
     flow: int
--- a/packages/cornelspan-common/src/cornelspan_common/packets.py
+++ b/packages/cornelspan-common/src/cornelspan_common/packets.py
@@ -1,8 +1,8 @@
-"""Packets of flows, and what carries them from fabric to balancer to agent.
+"""Packets of flows, and the messages that carry them between processes.
 
 Every message is an array-like msgspec structure with an integer tag, so that one
-decoder turns a frame into typed messages and passes a body on without a copy in
-Python. Tags 1 to 19 belong to this module.
+decoder turns a frame into typed messages without copying bodies in Python. This module
+has tags 1 to 19.
 """
 
 from enum import IntEnum
@@ -11,7 +11,7 @@
 
 
 class Kind(IntEnum):
-    """What a packet does to its flow."""
+    """The type of a packet."""
 
     OPEN = 1
     ACCEPT = 2
@@ -22,14 +22,15 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Base of every message between two processes."""
+    """Base class of all messages between two processes."""
 
 
 class Hello(Message, frozen=True, tag=1):
-    """First message on a stream, both ways: who speaks, and which life of it.
+    """First message on a stream in both directions; identifies its sender.
 
-    ``incarnation`` grows with each start of a process of that name (milliseconds since
-    the epoch at start), so a message from an earlier life can be told apart.
+    ``incarnation`` identifies one run of the process of that name. It grows with each
+    restart (milliseconds since the Unix epoch at the start), so that messages of
+    earlier incarnations can be recognised.
     """
 
     protocol: int
@@ -42,12 +43,12 @@
 class Packet(Message, frozen=True, tag=2):
     """One packet of a flow, between the fabric's end and the owner agent's end.
 
-    ``sequence`` counts the flow's packets in one direction, from 1 (DATA and CLOSE
-    use one each). ``acknowledged`` is the highest sequence up to which all has come
-    from the other side, ``selective`` the ones beyond it that have come already, and
-    ``window`` how many bytes the sender of this packet can still take.
-    OPEN and ACCEPT carry no data. ``body`` of an OPEN is the caller's IP number, of an
-    ACCEPT the owner's name, of a RESET the reason.
+    ``sequence`` numbers the flow's DATA and CLOSE packets in one direction, from 1; it
+    is 0 in other packets. ``acknowledged`` is the cumulative acknowledgement: the
+    sender has received all packets up to this one. ``selective`` are the sequence
+    numbers beyond it that it has received too. ``window`` is how many more bytes it can
+    receive. ``body`` is the data of a DATA packet, the caller's IP number in an OPEN,
+    the owner's name in an ACCEPT and the reason in a RESET.
     """
 
     kind: int
@@ -64,10 +65,10 @@
 class Routed(Message, frozen=True, tag=3):
     """A packet on its way to the flow's owner.
 
-    ``candidates`` is a msgpack-encoded list of endpoint names, best first, as the
-    balancer ranks them; it is encoded once a service and flow and copied as bytes.
-    ``hops`` counts the agents that passed the packet on, ``sender`` is the balancer
-    that wants to learn the owner.
+    ``candidates`` is a msgpack-encoded list of endpoint names in the balancer's ranking
+    for the flow, best first. It is encoded once and copied as bytes. ``hops`` counts
+    the agents that have forwarded the packet. ``sender`` is the balancer to which the
+    owner is reported in a ``Hint``.
     """
 
     packet: Packet
@@ -77,14 +78,14 @@
 
 
 class Hint(Message, frozen=True, tag=4):
-    """An agent tells a balancer which endpoint owns a flow; "" forgets it."""
+    """Sent by an agent to a balancer: the owner of a flow; "" if it has none."""
 
     flow: int
     owner: str
 
 
 class Leaving(Message, frozen=True, tag=5):
-    """The sender is going to stop in order; nothing new should be sent to it."""
+    """The sender is about to stop gracefully; nothing new should be sent to it."""
 
     name: str
     incarnation: int
--- a/packages/cornelspan-common/src/cornelspan_common/requests.py
+++ b/packages/cornelspan-common/src/cornelspan_common/requests.py
@@ -1,7 +1,7 @@
-"""Messages by which agents of one service hand requests over and guard keys.
+"""Messages of agents of one service for handed-over requests and idempotency keys.
 
-Tags 40 to 59. A request goes over only when it surely has not run, and runs at the
-receiver only once its body is there whole.
+Tags 40 to 59. A request is handed over only if it has certainly not run, and the
+receiver runs it only once it has the complete body.
 """
 
 from cornelspan_common.packets import Message
@@ -10,10 +10,10 @@
 
 
 class RequestStart(Message, frozen=True, tag=40):
-    """A request handed over; its body follows in parts.
+    """A request that is handed over; its body follows in parts.
 
-    ``number`` is the sender's own, ``milliseconds`` what is left until the deadline,
-    ``length`` the bytes of the body.
+    ``number`` identifies the request among those of the sender. ``milliseconds`` is the
+    time left until the deadline, ``length`` the size of the body in bytes.
     """
 
     number: int
@@ -29,8 +29,8 @@
 class RequestPart(Message, frozen=True, tag=41):
     """A part of a request's body; the receiver runs the request after the last.
 
-    ``offset`` is where the part begins. Two agents may have two streams, and parts that
-    change from one to the other can overtake each other.
+    ``offset`` is the position of the part in the body. It reveals reordering: if two
+    agents have two streams, parts on one can overtake those on the other.
     """
 
     number: int
@@ -40,7 +40,7 @@
 
 
 class RequestCancel(Message, frozen=True, tag=42):
-    """Nobody waits for the answer any more."""
+    """The caller no longer waits for the answer, so the request may be cancelled."""
 
     number: int
 
@@ -55,7 +55,7 @@
 
 
 class AnswerPart(Message, frozen=True, tag=44):
-    """A part of an answer's body from ``offset``; it is whole only after the last."""
+    """A part of an answer's body at ``offset``; the body is complete after ``last``."""
 
     number: int
     offset: int
@@ -64,7 +64,7 @@
 
 
 class AnswerFailed(Message, frozen=True, tag=45):
-    """There is no answer, or no more of it; ``outcome`` and ``reason`` as told."""
+    """The request failed, or its answer broke off; the failure that the caller gets."""
 
     number: int
     outcome: str
@@ -73,14 +73,17 @@
 
 
 class AnswerAck(Message, frozen=True, tag=46):
-    """The caller has taken so many more bytes, so that the sender may go on."""
+    """The caller has received ``size`` more bytes, so the next part may be sent."""
 
     number: int
     size: int
 
 
 class Token(Message, frozen=True):
-    """One claim on a key: by which agent, in which life of it, and its how manieth."""
+    """Identifies one claim on a key: its agent, that one's incarnation and a number.
+
+    ``number`` counts the claims of an incarnation.
+    """
 
     holder: str
     incarnation: int
@@ -88,7 +91,7 @@
 
 
 class KeptAnswer(Message, frozen=True):
-    """A finished answer, small enough to be given again."""
+    """A complete answer, small enough to be stored and replayed."""
 
     status: int
     reason: str
@@ -97,10 +100,10 @@
 
 
 class KeyRecord(Message, frozen=True):
-    """What an agent knows of an idempotency key.
+    """The record of an idempotency key.
 
-    ``key`` and ``fingerprint`` are digests of key and request. ``state`` is one of the
-    agent's key states, ``seconds`` how long the record is still to be kept.
+    ``key`` and ``fingerprint`` are digests of the key and of the request. ``state`` is
+    the number of a key state, ``seconds`` the time until the record expires.
     """
 
     key: bytes
@@ -112,41 +115,48 @@
 
 
 class KeyClaim(Message, frozen=True, tag=47):
-    """Asks the receiver to record a claim on a key, unless it knows another."""
+    """Asks the receiver to record a claim on a key, unless it has another record.
+
+    ``query_id`` matches the vote to this message.
+    """
 
     query_id: int
     record: KeyRecord
 
 
 class KeyVote(Message, frozen=True, tag=48):
-    """Answer to a claim.
+    """Answer to a ``KeyClaim``.
 
-    ``verdict`` says whether it was recorded, ``known`` is the record in its way, and
-    ``voters`` the agents whose votes count, as the sender sees it.
+    ``vote`` tells whether the claim was recorded, ``known`` is another record of the
+    key that the sender has, and ``voters`` are the agents whose votes count, as the
+    sender knows them.
     """
 
     query_id: int
-    verdict: int
+    vote: int
     known: KeyRecord | None
     voters: tuple[str, ...]
     incarnation: int
 
 
 class KeyRelease(Message, frozen=True, tag=49):
-    """A claim that came to no run: the key is free again."""
+    """Releases the claim on a key, because its request has certainly not run."""
 
     key: bytes
     token: Token
 
 
 class KeyDone(Message, frozen=True, tag=50):
-    """How the run of a key has ended; only some receivers get the answer as well."""
+    """The final record of a key's request; only some receivers get the answer too."""
 
     record: KeyRecord
 
 
 class KeySync(Message, frozen=True, tag=51):
-    """An agent that has just started asks for all claims before it votes."""
+    """Sent by an agent that has just started: requests all records of keys.
+
+    It votes only once it has them.
+    """
 
     query_id: int
     name: str
@@ -156,10 +166,9 @@
 class KeyRecords(Message, frozen=True, tag=52):
     """Some of an agent's key records, in answer to ``KeySync`` or before it leaves.
 
-    ``ready`` tells whether the sender votes itself, ``restart_seen`` whether it knows
-    records from before a restart of the whole service, and ``total`` how many records
-    all parts have together. ``query_id`` is that of the ``KeySync``, or zero if there
-    was none.
+    ``ready`` tells whether the sender may vote, ``restart_seen`` whether it knows that
+    an agent of the service has restarted, and ``total`` how many records all parts have
+    together. ``query_id`` is that of the ``KeySync``, or zero if there was none.
     """
 
     query_id: int
@@ -171,7 +180,7 @@
 
 
 class KeyLeave(Message, frozen=True, tag=53):
-    """The sender has handed on all its claims and votes no more."""
+    """The sender has sent its records to the other agents and no longer votes."""
 
     name: str
     incarnation: int
--- a/packages/cornelspan-common/src/cornelspan_common/service_levels.py
+++ b/packages/cornelspan-common/src/cornelspan_common/service_levels.py
@@ -7,7 +7,10 @@
 
 
 class Minute(Message, frozen=True):
-    """Requests of one minute, numbered from the epoch, by whether they were good."""
+    """Counts of good and bad requests in one minute.
+
+    ``number`` is the minute since the Unix epoch.
+    """
 
     number: int
     good: int
@@ -15,12 +18,11 @@
 
 
 class ServiceCounts(Message, frozen=True, tag=86):
-    """What one agent has counted since the last sealed minute.
+    """Counts of one agent since the last sealed minute.
 
-    ``incarnation`` tells the life of the counting process. The counts of a minute are
-    absolute, not added to: said twice, they are counted once. Nothing more will be
-    counted in minutes up to ``complete``. ``latencies`` is a compressed histogram of
-    the last hour in microseconds.
+    ``incarnation`` is that of the agent's counter. The counts of a minute are totals,
+    not increments, so the message is idempotent. Minutes up to ``complete`` are final.
+    ``latencies`` is a compressed histogram of the last hour in microseconds.
     """
 
     agent: str
@@ -32,6 +34,6 @@
 
 
 class SealedMinute(Message, frozen=True, tag=87):
-    """The receiver's minutes up to this one are in the store."""
+    """The receiver's counts of all minutes up to this one are saved in the store."""
 
     minute: int
--- a/packages/cornelspan-requests/src/cornelspan_requests/claims.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/claims.py
@@ -342,7 +342,7 @@
         vote_round.voters |= {
             name for name in unknown if name not in self.voters.left_incarnations
         }
-        vote = Vote(message.verdict)
+        vote = Vote(message.vote)
         self._record_vote(vote_round, sender, message.incarnation, vote, message.known)
         vote_round.changed.set()
 
