--- a/packages/cornelspan-common/src/cornelspan_common/ejection.py
+++ b/packages/cornelspan-common/src/cornelspan_common/ejection.py
@@ -1,8 +1,8 @@
-"""Outlier ejection: an endpoint is judged by what its own agent sees of it.
+"""Outlier ejection of an endpoint, from the requests that its own agent sends to it.
 
-Health endpoints of backend servers lag or mislead, so only answers, refusals and times
-count. An ejected endpoint gets no new work for a while, then one request at a time
-until one succeeds.
+Health endpoints of backend servers can be out of date or wrong, so only the answers to
+requests, refused connections and latencies count. An ejected endpoint gets no new work
+for a while, then one request at a time as a probe until one succeeds.
 """
 
 from collections.abc import Sequence
@@ -19,9 +19,13 @@
 
 
 class EjectionPolicy(Checked, frozen=True, kw_only=True):
-    """When an endpoint gets no new work for a while, and how many may be out at once.
+    """When an endpoint is ejected, for how long, and how many may be at once.
 
-    ``slow_ratio`` compares an endpoint's latency with its group's median.
+    ``failures`` in a row eject an endpoint, and so does a latency of more than
+    ``slow_ratio`` times the median of the service's other endpoints. The first ejection
+    lasts ``seconds``, and each further one twice as long, at most 32 times ``seconds``.
+    ``share_limit`` is the largest share of the service's endpoints that may be
+    unavailable.
     """
 
     failures: Annotated[int, Meta(ge=1, le=1000)] = 5
@@ -31,7 +35,12 @@
 
 
 class Standing(Enum):
-    """How an endpoint stands."""
+    """Whether an endpoint gets new work.
+
+    ``IN`` gets it as usual. ``OUT`` is ejected and gets none. ``PROBING`` gets one
+    request at a time, because its ejection has lasted its time but no request has
+    succeeded since. The values appear in logs.
+    """
 
     IN = "in"
     OUT = "out"
@@ -40,7 +49,15 @@
 
 @dataclass
 class EjectionState:
-    """What one agent thinks of its endpoint; times in seconds of the owner's clock."""
+    """Failures and ejections of an agent's endpoint; times in seconds of its clock.
+
+    Attributes:
+        failures: Failures in a row.
+        ejections: Ejections that count for the length of the next one.
+        ejected_until: When the last ejection ends or ended, and probing begins.
+        ejected: Whether the endpoint is ejected or being probed.
+        probes_running: Requests that run as probes, counted by the caller.
+    """
 
     failures: int = 0
     ejections: int = 0
@@ -49,16 +66,19 @@
     probes_running: int = 0
 
     def standing(self, now: float) -> Standing:
-        """Return how the endpoint stands now."""
+        """Return whether the endpoint is in service, ejected or being probed."""
         if not self.ejected:
             return Standing.IN
         return Standing.OUT if now < self.ejected_until else Standing.PROBING
 
     def record_success(self, now: float) -> bool:
-        """Note a good answer; after a long good time earlier ejections don't count.
+        """Record a success.
+
+        Earlier ejections no longer count, so that the next one is short again, if the
+        last one ended more than ``EJECTIONS_FORGOTTEN_SECONDS`` ago.
 
         Returns:
-            Whether it ends an ejection, so that slow start begins again.
+            Whether the success ends an ejection, so that slow start begins again.
         """
         self.failures = 0
         if not self.ejected and now - self.ejected_until > EJECTIONS_FORGOTTEN_SECONDS:
@@ -71,15 +91,17 @@
     def record_failure(
         self, policy: EjectionPolicy, now: float, *, may_eject: bool
     ) -> bool:
-        """Note a failure.
+        """Record a failure.
+
+        A failed probe ejects the endpoint again, for longer.
 
         Args:
-            policy: How many in a row eject.
-            now: The clock.
-            room: Whether the cap lets one more endpoint be out.
+            policy: How many failures in a row eject, and for how long.
+            now: The time in seconds.
+            may_eject: Whether the limit lets one more endpoint be ejected.
 
         Returns:
-            Whether the endpoint has been ejected by it.
+            Whether the failure has ejected an endpoint that was in service.
         """
         self.failures += 1
         if self.ejected:
@@ -93,60 +115,75 @@
 
     def eject_if_slow(
         self,
-        own: float,
-        others: Sequence[float],
+        own_latency: float,
+        other_latencies: Sequence[float],
         policy: EjectionPolicy,
         now: float,
         *,
         may_eject: bool,
     ) -> bool:
-        """Eject an endpoint that is much slower than the median of its peers."""
-        # Only the HTTP side compares endpoints. Imported above, it would cost every
-        # pass-through daemon 0.4 MB for fractions and decimal numbers.
+        """Eject an endpoint that is much slower than the median of its peers.
+
+        Args:
+            own_latency: Mean latency of the endpoint in seconds.
+            other_latencies: Mean latencies of the service's other endpoints.
+            policy: How much slower it must be, and how long it is ejected.
+            now: The time in seconds.
+            may_eject: Whether the limit lets one more endpoint be ejected.
+
+        Returns:
+            Whether the endpoint has been ejected.
+        """
+        # Imported here because only HTTP services compare latencies. At the top of the
+        # module it would cost every pass-through daemon 0.4 MB for the modules of
+        # fractions and decimal numbers.
         from statistics import median
 
-        if self.ejected or not may_eject or not others:
+        if self.ejected or not may_eject or not other_latencies:
             return False
-        if own <= policy.slow_ratio * median(others):
+        if own_latency <= policy.slow_ratio * median(other_latencies):
             return False
         self._eject(policy, now)
         return True
 
     def readmit(self) -> None:
-        """Take the endpoint back because too many are out."""
+        """End the ejection without a probe, because too many endpoints are ejected."""
         self.ejected = False
         self.failures = 0
 
     def _eject(self, policy: EjectionPolicy, now: float) -> None:
         self.ejected = True
-        doubling = min(self.ejections, MAX_DOUBLINGS)
-        self.ejected_until = now + policy.seconds * 2**doubling
+        doublings = min(self.ejections, MAX_DOUBLINGS)
+        self.ejected_until = now + policy.seconds * 2**doublings
         self.ejections += 1
         self.failures = 0
 
 
-def can_eject(out: int, group: int, policy: EjectionPolicy) -> bool:
-    """Whether one more endpoint of a group may be out.
+def can_eject(unavailable: int, group_size: int, policy: EjectionPolicy) -> bool:
+    """Whether one more endpoint of a service may be ejected.
 
     Args:
-        out: Endpoints that take no new work already, for whatever reason.
-        group: All endpoints of the service.
-        policy: The largest share that may be out.
+        unavailable: Number of endpoints that already take no new work, for any reason.
+        group_size: Number of all endpoints of the service.
+        policy: Has the largest share of endpoints that may be unavailable.
     """
-    return out + 1 <= int(group * policy.share_limit)
+    return unavailable + 1 <= int(group_size * policy.share_limit)
 
 
-def must_readmit(name: str, out: Sequence[str], group: int, share: float) -> bool:
-    """Whether an ejected endpoint goes back because the cap is overshot.
+def must_readmit(
+    name: str, unavailable: Sequence[str], group_size: int, share: float
+) -> bool:
+    """Whether an ejected endpoint must be readmitted because too many are unavailable.
 
-    Agents decide alone and hear of one another late, so two may leave at once. Then the
-    last by name returns, which all work out alike.
+    Agents eject their endpoints without coordination and learn of other ejections with
+    a delay, so together they can exceed the limit. All agents then apply the same rule:
+    the last endpoints in the order of names are readmitted.
 
     Args:
         name: The endpoint.
-        out: All that are out, this one too.
-        group: All endpoints of the service.
-        share: The largest share that may be out.
+        unavailable: Names of all unavailable endpoints, this one included.
+        group_size: Number of all endpoints of the service.
+        share: The largest share of endpoints that may be unavailable.
     """
-    allowed = int(group * share)
-    return name in sorted(out)[allowed:]
+    allowed = int(group_size * share)
+    return name in sorted(unavailable)[allowed:]
