--- a/packages/cornelspan-common/src/cornelspan_common/_sending.py
+++ b/packages/cornelspan-common/src/cornelspan_common/_sending.py
@@ -1,4 +1,4 @@
-"""The sending half of a channel: what is under way, and when to repeat it."""
+"""The sending half of a channel: packets in flight, and when to retransmit them."""
 
 from dataclasses import dataclass
 from itertools import takewhile
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Segment:
-    """One packet under way."""
+    """One packet in flight."""
 
     kind: int
     body: bytes
@@ -24,7 +24,10 @@
 
 
 class Sending:
-    """Packets not yet acknowledged, the peer's window and the time-out."""
+    """Unacknowledged packets, the windows and the retransmission timeout.
+
+    ``congestion_window`` counts packets, ``peer_window`` bytes; times are in seconds.
+    """
 
     def __init__(self) -> None:
         self.next_sequence = 1
@@ -42,14 +45,14 @@
 
     @property
     def finished(self) -> bool:
-        """Whether this side has closed and the peer has everything."""
+        """Whether this side is closed and the peer has acknowledged everything."""
         return self.closed and not self.unacknowledged
 
     def can_send(self, size: int) -> bool:
-        """Whether a packet of a size may go out now.
+        """Whether a packet of ``size`` bytes may be sent now.
 
-        With nothing under way one may always go, even at a closed window: its answer
-        tells when the window opens, and no lost update can stall the flow.
+        With nothing in flight one packet may always be sent, even at a closed window.
+        Its acknowledgement carries the window, so a lost update can't stall the flow.
         """
         if not self.unacknowledged:
             return True
@@ -58,7 +61,7 @@
         return self.bytes_in_flight + size <= self.peer_window
 
     def add(self, kind: int, body: bytes, now: float) -> int:
-        """Note a new packet as sent and return its sequence."""
+        """Record a new packet as sent and return its sequence number."""
         sequence = self.next_sequence
         self.next_sequence += 1
         self.unacknowledged[sequence] = Segment(kind, body, now)
@@ -66,7 +69,7 @@
         return sequence
 
     def mark_retransmitted(self, sequence: int, now: float) -> Segment:
-        """Note a packet as sent again and return it."""
+        """Record a packet as retransmitted and return it."""
         segment = self.unacknowledged[sequence]
         segment.sent_at = now
         segment.attempts += 1
@@ -75,20 +78,20 @@
     def acknowledge(
         self, upto: int, selective: tuple[int, ...], window: int, now: float
     ) -> list[int]:
-        """Take in an acknowledgement.
+        """Process an acknowledgement.
 
         Args:
-            upto: Highest sequence up to which the peer has all.
-            selective: Sequences beyond it that the peer has too.
-            window: Bytes that the peer can take.
-            now: Time of the loop, in seconds.
+            upto: Cumulative acknowledgement: the peer has all packets up to this one.
+            selective: Sequence numbers beyond it that the peer has too.
+            window: Bytes that the peer can receive.
+            now: Time of the event loop in seconds.
 
         Returns:
-            Sequences that are lost: another sent clearly later has arrived.
+            Sequence numbers of lost packets, to be retransmitted.
         """
         if upto >= self.highest_acknowledged:
-            # An answer that was overtaken tells of a window that has been used since;
-            # believed, it would let more be sent than the peer can hold.
+            # An acknowledgement that arrives late has an outdated window, part of
+            # which is used by now. Applied, it would overrun the peer's buffer.
             self.highest_acknowledged = upto
             self.peer_window = window
         newly_acknowledged = list(
@@ -105,10 +108,11 @@
         return self._lost_sequences()
 
     def time_out(self) -> int | None:
-        """Back off after a time-out.
+        """Back off after a timeout.
 
         Returns:
-            The oldest sequence, to be sent again; None if the peer is lost.
+            The oldest sequence number, to be retransmitted; None after more than
+            ``MAX_TIMEOUTS`` in a row, when the peer counts as lost.
         """
         self.timeouts += 1
         if self.timeouts > MAX_TIMEOUTS:
@@ -124,12 +128,12 @@
         )
         self.newest_sent_at = max(self.newest_sent_at, segment.sent_at)
         if segment.attempts == 1:
-            # A repeated packet's answer may be to either copy, so it says nothing of
-            # the round trip (Karn's rule).
+            # The acknowledgement of a retransmitted packet may be for either copy, so
+            # it can't be used to measure the round trip (Karn's algorithm).
             self._update_timeout(now - segment.sent_at)
 
     def _update_timeout(self, round_trip: float) -> None:
-        """RFC 6298, with a floor that fits data centres."""
+        """Update the timeout by RFC 6298, with a minimum that fits data centres."""
         if self.smoothed_rtt == 0.0:
             self.smoothed_rtt = round_trip
             self.rtt_variation = round_trip / 2
@@ -144,10 +148,10 @@
         )
 
     def _lost_sequences(self) -> list[int]:
-        """Packets sent so long before one that arrived that they can't be on the way.
+        """Return packets sent so long before an acknowledged one that they are lost.
 
-        The fabric sprays packets over balancers, so some overtake others. Counting
-        three later arrivals, as older TCP does, would repeat much that is not lost.
+        The fabric sprays packets over balancers, which reorders them. The rule of three
+        duplicate acknowledgements of older TCP would retransmit many that aren't lost.
         """
         reorder_window = max(REORDER_SECONDS, self.smoothed_rtt / 4)
         limit = self.newest_sent_at - reorder_window
--- a/packages/cornelspan-common/src/cornelspan_common/channel.py
+++ b/packages/cornelspan-common/src/cornelspan_common/channel.py
@@ -1,11 +1,11 @@
-"""One end of a flow: an ordered, whole byte stream over packets that may be lost.
+"""One end of a flow: a reliable, ordered byte stream over packets that may be lost.
 
-Balancers keep no flow state and may die, and the fabric may drop, repeat and reorder
-packets, so the two ends of a flow, the fabric's and the owner agent's, acknowledge and
-retransmit between themselves. The scheme is TCP's, in units of packets: cumulative and
-selective acknowledgements (RFC 2018), retransmission time-out (RFC 6298), loss told by
-time of sending (RACK, RFC 8985), and a window that grows slowly and halves on a
-time-out.
+Balancers keep no flow state and may die, and the fabric may drop, duplicate and reorder
+packets. So the two ends of a flow, at the fabric and at the owner agent, acknowledge
+and retransmit packets themselves. The protocol is TCP's, in units of packets:
+cumulative and selective acknowledgements (RFC 2018), a retransmission timeout (RFC
+6298), loss detection by send time (RACK, RFC 8985), and a congestion window that grows
+linearly and halves on a timeout.
 
     channel = Channel(flow, address, fabric, transmit)
     await channel.write(b"...")
@@ -47,8 +47,15 @@
 class Channel:
     """State of one end of a flow.
 
-    Bounded on both sides: ``write`` waits while the peer's window is full, and at most
-    ``BUFFER_BYTES`` wait here for ``read``.
+    Both directions are bounded: ``write`` waits while the peer's window is full, and at
+    most ``BUFFER_BYTES`` are buffered for ``read``.
+
+    Args:
+        flow: The flow's key.
+        address: The address and port that the caller connected to.
+        fabric: Name of the fabric that the flow came through.
+        transmit: Sends a packet to the other end; it may get lost.
+        caller: The caller's IP number, sent when the flow is opened.
     """
 
     def __init__(
@@ -87,19 +94,19 @@
 
     @property
     def finished(self) -> bool:
-        """Whether both directions have ended and the peer has all of ours."""
+        """Whether both directions are closed and the peer has acknowledged all data."""
         return self.close_received and self.sending.finished
 
     @property
     def window(self) -> int:
-        """Bytes that can still be taken from the peer."""
+        """Bytes that can still be received from the peer."""
         return max(0, BUFFER_BYTES - self.ready_bytes - self.out_of_order_bytes)
 
     async def open(self) -> Result[None, FlowError]:
-        """Ask for an owner until one accepts; nothing else is sent before.
+        """Send OPEN until an owner accepts the flow; no data may be sent before.
 
         Returns:
-            ``FlowError`` if the flow is refused, or nobody answers in time.
+            ``FlowError`` if the flow is reset, or no owner answers in time.
         """
         wait = OPEN_RETRY_SECONDS
         for _ in range(OPEN_ATTEMPTS):
@@ -111,12 +118,12 @@
         return Err(FlowError(self.flow, "no answer to open"))
 
     def accept(self, owner: str) -> None:
-        """Tell the fabric's end that the flow is owned here."""
+        """Send ACCEPT: the fabric's end learns that this agent owns the flow."""
         self.accepted = True
         self.transmit(self._packet(Kind.ACCEPT, 0, owner.encode()))
 
     async def write(self, data: bytes) -> Result[None, FlowError]:
-        """Send bytes, waiting while the peer can't take them.
+        """Send bytes, waiting while the peer's window or the congestion window is full.
 
         Returns:
             ``FlowError`` once the flow is reset; bytes sent before may have arrived.
@@ -129,7 +136,7 @@
         return Ok(None)
 
     async def close_write(self) -> Result[None, FlowError]:
-        """End this direction after what was written; the other stays open."""
+        """Close this direction after the data written so far; the other stays open."""
         if self.error is not None:
             return Err(self.error)
         if not self.sending.closed:
@@ -138,7 +145,11 @@
         return Ok(None)
 
     async def read(self) -> Result[bytes, FlowError]:
-        """Return the next bytes in order; empty once the peer has closed its side."""
+        """Return the next bytes in order; empty once the peer has closed its side.
+
+        Returns:
+            ``FlowError`` once the flow is reset and all received bytes have been read.
+        """
         await self._wait_until(lambda: bool(self.ready) or self.close_received)
         if self.ready:
             body = self.ready.popleft()
@@ -153,13 +164,13 @@
         """Wait until the flow has finished or was reset.
 
         Returns:
-            Whether it finished within the time, rather than being reset or stuck.
+            Whether it finished in time; False also if it was reset.
         """
         await self._wait_for(lambda: self.finished, seconds)
         return self.finished
 
     def receive(self, packet: Packet) -> None:
-        """Take in a packet of this flow from the network."""
+        """Process a packet of this flow from the network."""
         if self.error is not None:
             return
         self.last_received = self.loop.time()
@@ -180,7 +191,7 @@
         self.changed.set()
 
     def reset(self, reason: str) -> None:
-        """End the flow at once and tell the peer why."""
+        """Abort the flow and send the peer a RESET with the reason."""
         if self.error is not None or self.finished:
             return
         self.transmit(
@@ -191,20 +202,20 @@
         self._fail(reason)
 
     def stop(self) -> None:
-        """Forget the flow without a word to the peer."""
+        """Drop the flow without a message to the peer."""
         self._fail("stopped")
 
     def acknowledge(self) -> None:
-        """Tell the peer what has come, and what can still come."""
+        """Send an acknowledgement of what was received, with the current window."""
         self.ack_scheduled = False
         if self.error is None:
             self.transmit(self._packet(Kind.ACK, 0, b""))
 
     def _accepted_by(self, owner: bytes) -> bool:
-        """Note who accepts; a second one ends the flow.
+        """Record the owner that accepts; return False and reset on a second owner.
 
-        The first may have run what was sent already. A second owner, made because the
-        first died, would be sent the same again and run it twice.
+        If the first owner has died and a second one takes over, the data already sent
+        would be sent again. The first may have run the request, so it would run twice.
         """
         if self.accepted and owner != self.owner:
             self.reset("accepted by a second owner")
@@ -261,7 +272,7 @@
         )
 
     def _receive_data(self, packet: Packet) -> None:
-        """Put a packet in its place; what fills a gap makes the early ones ready."""
+        """Deliver a packet in order, and those behind it that were out of order."""
         self._acknowledge_soon()
         self.last_data = self.last_received
         if packet.sequence < self.expected or packet.sequence in self.out_of_order:
@@ -270,8 +281,8 @@
             self._buffer_out_of_order(packet)
             return
         if len(packet.body) > self.window and self.ready:
-            # A sender may try one packet at a closed window to learn when it opens.
-            # Kept, it would pass the bound; dropped, it comes again after a time-out.
+            # A sender may probe a closed window with one packet. To keep it would
+            # exceed the buffer; dropped, it is retransmitted after a timeout.
             return
         self._deliver(packet)
         while self.expected in self.out_of_order:
@@ -280,7 +291,7 @@
             self._deliver(next_packet)
 
     def _buffer_out_of_order(self, packet: Packet) -> None:
-        """Keep a packet that overtook others, within the bounds."""
+        """Buffer a packet that arrived before earlier ones, unless a limit is hit."""
         fits = len(packet.body) <= self.window
         if fits and len(self.out_of_order) < MAX_OUT_OF_ORDER_PACKETS:
             self.out_of_order[packet.sequence] = packet
@@ -300,7 +311,7 @@
             self.loop.call_soon(self.acknowledge)
 
     def _reopen_window(self) -> None:
-        """Tell a peer that was held back once half the buffer is free again."""
+        """Send a window update once half the buffer is free again."""
         half = BUFFER_BYTES // 2
         if self.last_window < half <= self.window:
             self._acknowledge_soon()
@@ -316,8 +327,8 @@
         self.timer = None
         sequence = self.sending.time_out()
         if sequence is None:
-            # The peer may live and only be cut off one way; untold, its caller would
-            # wait for ever.
+            # The peer may be alive and unreachable in one direction only. Without a
+            # reset, its caller would wait for ever.
             self.reset("peer lost")
             return
         self._retransmit(sequence)
--- a/packages/cornelspan-common/src/cornelspan_common/links.py
+++ b/packages/cornelspan-common/src/cornelspan_common/links.py
@@ -1,4 +1,4 @@
-"""Streams that this process keeps open to others, each held by one task.
+"""Streams that this process keeps open to others, with one task for each.
 
 links.want("agent-3", address)
 if peer := links.get("agent-3"):
@@ -25,10 +25,13 @@
 
 
 class Links:
-    """The wanted streams by key, and the open ones by the other process's name.
+    """Streams to other processes that are opened again whenever they end.
 
-    ``version`` grows whenever a stream opens or ends, so that what is worked out from
-    the open ones can be kept until then.
+    Attributes:
+        targets: Address and task of each stream to keep open, by the caller's key.
+        open: The streams that are open now, by the other process's name.
+        version: Incremented whenever a stream opens or ends, so that values computed
+            from ``open`` can be cached until it changes.
     """
 
     def __init__(
@@ -54,7 +57,15 @@
         return self.open.get(name)
 
     def keep_open(self, key: str, address: Address) -> None:
-        """Keep a stream open to an address; a changed address replaces the old."""
+        """Keep a stream to an address open, until ``drop``.
+
+        A stream is opened now and again whenever it ends. If the address of a key has
+        changed, the stream to the old one is closed.
+
+        Args:
+            key: The caller's key of the stream, for ``drop`` and ``keep_only``.
+            address: Where the other process listens.
+        """
         known = self.targets.get(key)
         if known is not None:
             if known[0] == address:
@@ -64,7 +75,7 @@
         self.targets[key] = (address, task)
 
     def drop(self, key: str) -> None:
-        """Close the stream of a key and open it no more."""
+        """Close the stream of a key and don't open it again."""
         known = self.targets.pop(key, None)
         if known is not None:
             known[1].cancel()
@@ -75,7 +86,7 @@
             self.drop(key)
 
     async def _keep_connected(self, address: Address) -> None:
-        """Connect, hand the stream to the handler, and begin again when it ends."""
+        """Connect and run the handler; start again, with a backoff, when it ends."""
         wait = self.settings.reconnect_seconds
         while True:
             async with open_peer(
@@ -86,8 +97,9 @@
                         wait = self.settings.reconnect_seconds
                         await self._run_handler(peer)
                     case Err(error):
-                        log.debug("no stream", extra={"why": str(error)})
-            # Without jitter all that lost the same process come back at one moment.
+                        log.debug("stream not opened", extra={"why": str(error)})
+            # Without jitter all processes that lost the same peer would reconnect to it
+            # at the same moment.
             await asyncio.sleep(wait * random.uniform(0.5, 1.5))
             wait = min(MAXIMUM_RECONNECT_SECONDS, 2 * wait)
 
--- a/packages/cornelspan-common/src/cornelspan_common/pump.py
+++ b/packages/cornelspan-common/src/cornelspan_common/pump.py
@@ -1,8 +1,8 @@
-"""Moves bytes between a flow's channel and a byte stream of the host.
+"""Copies bytes between a flow's channel and a TCP stream.
 
-asyncio's streams are used here and not tornado's, because a tornado stream closes as a
-whole when the other side ends its half: a caller that has sent its request and closed
-its sending side would then lose the answer.
+This uses asyncio's streams, because a tornado stream closes both directions when the
+other side closes one (half close). A caller that closes its sending side after its
+request would lose the answer.
 """
 
 import asyncio
@@ -16,14 +16,15 @@
 async def pump(
     channel: Channel, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """Carry both directions until the flow has finished or is reset.
+    """Copy in both directions until the flow has finished or is reset.
 
-    Each direction ends by itself (half close). A stream that breaks resets the flow; a
-    flow that is reset aborts the stream, so that neither side takes a cut for an end.
+    Each direction is closed separately (half close). A broken stream resets the flow,
+    and a reset flow aborts the stream, so that neither side mistakes an error for the
+    end of the data.
     """
     inward = asyncio.create_task(_to_stream(channel, writer))
     outward = asyncio.create_task(_to_channel(channel, reader))
-    # A direction that waits for its stream would not see that the flow was reset.
+    # While this direction waits for its stream, it would not notice a reset.
     channel.on_error = outward.cancel
     try:
         await asyncio.wait({inward, outward})
--- a/packages/cornelspan-common/src/cornelspan_common/streams.py
+++ b/packages/cornelspan-common/src/cornelspan_common/streams.py
@@ -1,7 +1,7 @@
 """Streams between processes: frames of msgpack messages over TCP.
 
-A frame is four bytes of length and a msgpack array of messages, so the cost of a write
-is shared by all that was sent in one turn of the event loop.
+A frame is a length of four bytes and a msgpack array of messages. All messages sent in
+one iteration of the event loop share a frame, and so the cost of one write.
 
     async with open_peer(address, hello, settings) as opened:
         match opened:
@@ -43,12 +43,23 @@
 
 
 class Peer:
-    """One end of a stream: what waits to be sent, and what was counted.
-
-    Packets of flows are lossy: beyond ``outgoing_bytes`` they are dropped and counted,
-    since a slow peer must cost memory nowhere else, and the ends of a flow repeat what
-    was lost. Control messages are never dropped; where even they find no room, the
-    stream is closed, and the peer starts again from a snapshot.
+    """One end of a stream, with its send buffer and counters.
+
+    Packets of flows may be dropped: beyond ``outgoing_bytes`` they are dropped and
+    counted, so that a slow peer can't use up memory, and the ends of the flow
+    retransmit them. Control messages are never dropped. If they exceed twice that
+    limit, the stream is closed, and the peer starts again from a snapshot.
+
+    Attributes:
+        hello: The peer's hello; None before it has arrived.
+        own_name: Name of this process.
+        waiting_bytes: Bytes of frames not yet written to the socket.
+        sent: Messages sent.
+        received: Messages received.
+        sent_bytes: Bytes sent, frame headers included.
+        received_bytes: Bytes received, frame headers included.
+        dropped: Packets dropped because the peer is too slow.
+        refused: Invalid messages and frames received.
     """
 
     def __init__(self, stream: IOStream, settings: StreamSettings) -> None:
@@ -79,10 +90,10 @@
         return self.hello.name if self.hello else ""
 
     def send(self, message: Message) -> bool:
-        """Queue a message; it leaves in this turn of the loop.
+        """Queue a message; it is written in this iteration of the event loop.
 
         Returns:
-            False if it was dropped, because the stream is closed or full.
+            False if it was dropped, because the stream is closed or its buffer full.
         """
         if self.stream.closed():
             return False
@@ -98,10 +109,11 @@
         return True
 
     def send_packet(self, message: Packet | Routed) -> None:
-        """Queue a packet of a flow; dropped and counted if the peer is too slow.
+        """Queue a packet of a flow; it is dropped and counted if the peer is too slow.
 
-        As ``send``, without the checks that cost a balancer more than all the rest: on
-        a closed stream the packet is dropped with its frame.
+        Like ``send``, but without checking for a closed stream, which would cost a
+        balancer more than the rest of the call. On a closed stream the packet is
+        dropped with its frame.
         """
         if self.waiting_bytes > self.outgoing_limit:
             self.dropped += 1
@@ -115,11 +127,11 @@
 
     @property
     def full(self) -> bool:
-        """Whether packets are being dropped for want of room."""
+        """Whether packets are being dropped because too many bytes wait."""
         return self.waiting_bytes > self.settings.outgoing_bytes
 
     def flush(self) -> None:
-        """Write what was queued as one frame."""
+        """Write the queued messages as one frame."""
         self.flushing = False
         if not self.outgoing or self.stream.closed():
             self.outgoing.clear()
@@ -133,9 +145,9 @@
         written = self.stream.write(frame)
         written.add_done_callback(lambda _: self._written(len(frame)))
         if self.waiting_bytes > 2 * self.settings.outgoing_bytes:
-            # Packets stop at the limit, so the rest is control that a stalled peer
-            # never reads. Kept, it would grow without bound; closed, the peer starts
-            # again from a snapshot once it reads.
+            # Packets are dropped at the limit, so the excess is control messages that a
+            # stalled peer doesn't read. They would grow without bound. After the close
+            # the peer starts again from a snapshot.
             log.warning("stalled peer closed", extra={"peer": self.name})
             self.stream.close()
 
@@ -143,7 +155,7 @@
         self.waiting_bytes -= size
 
     def close(self) -> None:
-        """Close the stream; what was queued is written first if it can be at once."""
+        """Close the stream; queued messages are first written if that doesn't block."""
         self.flush()
         self.stream.close()
 
@@ -151,8 +163,9 @@
 async def batches(peer: Peer) -> AsyncIterator[list[AnyMessage]]:
     """Yield the messages of each frame until the stream ends.
 
-    A frame that is too long or no msgpack array ends the stream. A message that is none
-    of ours is counted in ``peer.refused`` and left out, without harm to its neighbours.
+    A frame that is too long or not a msgpack array ends the stream. An unknown or
+    invalid message is counted in ``peer.refused`` and skipped; the others of its frame
+    are kept.
     """
     unpaused_bytes = 0
     while True:
@@ -167,24 +180,25 @@
                 peer.received += len(batch)
                 peer.refused += refused
                 yield batch
-                # Frames that are already here are read without a pause. A fast peer
-                # would then keep all other tasks waiting, and what is sent on would
-                # count as unwritten and be dropped. A turn for the others after each
-                # frame would write as often as it reads, which costs a balancer more
-                # than forwarding does.
+                # Buffered frames are read without yielding to the event loop. With a
+                # fast peer no other task would run, and forwarded packets would count
+                # as unwritten and be dropped. Yielding after every frame would cause a
+                # write for each read, which costs a balancer more than forwarding.
                 unpaused_bytes += len(frame)
                 if unpaused_bytes >= TURN_BYTES:
                     unpaused_bytes = 0
                     await asyncio.sleep(0)
             case Err(error):
                 peer.refused += 1
-                log.warning("stream refused", extra={"peer": peer.name, "why": error})
+                log.warning(
+                    "invalid frame received", extra={"peer": peer.name, "why": error}
+                )
                 peer.stream.close()
                 return
 
 
 def decode_batch(frame: bytes) -> Result[tuple[list[AnyMessage], int], FrameError]:
-    """Decode a frame into its messages and the number of those refused."""
+    """Decode a frame into its valid messages and the number of invalid ones."""
     try:
         return Ok((batch_decoder.decode(frame), 0))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -194,7 +208,7 @@
 def _decode_one_by_one(
     frame: bytes,
 ) -> Result[tuple[list[AnyMessage], int], FrameError]:
-    """Decode message by message, so that one bad message costs only itself."""
+    """Decode message by message, so that only the invalid ones are lost."""
     try:
         parts = raw_decoder.decode(frame)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -209,14 +223,14 @@
 
 
 async def _read_frame(peer: Peer) -> Result[bytes, StreamError | FrameError]:
-    """Read one frame, whole."""
+    """Read one complete frame."""
     try:
         length_field = await peer.stream.read_bytes(LENGTH_BYTES)
         length = int.from_bytes(length_field, "big")
         if length > peer.settings.frame_bytes:
             peer.refused += 1
             peer.stream.close()
-            return Err(FrameError(f"{length} bytes are over the limit"))
+            return Err(FrameError(f"{length} bytes exceed the limit"))
         peer.received_bytes += LENGTH_BYTES + length
         return Ok(await peer.stream.read_bytes(length))
     except StreamClosedError:
@@ -224,7 +238,7 @@
 
 
 async def _exchange_hellos(peer: Peer, hello: Hello) -> Result[Peer, StreamError]:
-    """Exchange hellos; a peer of another protocol is refused."""
+    """Exchange hellos; a peer with another protocol version is refused."""
     peer.own_name = hello.name
     peer.send(hello)
     peer.flush()
@@ -239,7 +253,7 @@
             return Ok(peer)
         case _:
             peer.close()
-            return Err(StreamError(peer.name, "no hello of this protocol"))
+            return Err(StreamError(peer.name, "no hello with this protocol version"))
 
 
 @asynccontextmanager
@@ -254,13 +268,17 @@
 
     Args:
         address: Where the other process listens.
-        hello: What this process says of itself.
-        settings: Limits and time-outs of the stream.
+        hello: First message to the other process, which identifies this one.
+        settings: Limits and timeouts of the stream.
         tls: Context for mutual TLS; None for a plain stream.
+
+    Yields:
+        The peer, or ``StreamError`` if the connection fails or no valid hello arrives
+        in time. The stream is closed when the context ends.
     """
     try:
-        # asyncio.timeout and not wait_for: that one can lose a cancellation that comes
-        # in the same turn as the connection, and its task then never ends.
+        # asyncio.timeout, because wait_for can lose a cancellation that comes in the
+        # same loop iteration as the connection, and its task would then never end.
         async with asyncio.timeout(settings.connect_seconds):
             stream = await TCPClient().connect(
                 address.host, address.port, ssl_options=tls
@@ -290,7 +308,7 @@
 
 
 class PeerServer(TCPServer):
-    """Listens for peers and runs one task for each."""
+    """Accepts peers and runs a handler for each of them."""
 
     def __init__(
         self,
@@ -307,7 +325,7 @@
         self.peers: set[Peer] = set()
 
     async def handle_stream(self, stream: IOStream, address: tuple) -> None:
-        """Greet the peer, then hand it to the handler until either ends."""
+        """Exchange hellos, then run the handler until it returns."""
         stream.set_nodelay(True)
         peer = Peer(stream, self.settings)
         match await _exchange_hellos_in_time(peer, self.hello):
@@ -332,7 +350,15 @@
     *,
     tls: ssl.SSLContext | None = None,
 ) -> AsyncIterator[PeerServer]:
-    """Listen for peers as long as the context lasts, then close their streams."""
+    """Accept peers while the context is open, then close their streams.
+
+    Args:
+        listen: The address to listen at.
+        hello: First message to each peer, which identifies this process.
+        settings: Limits and timeouts of the streams.
+        handle: Runs for each peer after the hellos; its stream is closed afterwards.
+        tls: Context for mutual TLS; None for plain streams.
+    """
     server = PeerServer(hello, settings, handle, tls=tls)
     server.listen(listen.port, listen.host)
     try:
