--- a/packages/cornelspan-common/src/cornelspan_common/calls.py
+++ b/packages/cornelspan-common/src/cornelspan_common/calls.py
@@ -1,10 +1,10 @@
-"""HTTP calls of a daemon to one server, within a budget and with a time limit each.
+"""HTTP calls of a daemon to one server, with a rate limit and a timeout for each call.
 
 caller = HttpCaller("http://10.0.0.1:80", CallBudget(5.0), call_seconds=2.0)
 match await caller.send("GET", "/objects/a"):
     case Ok(response): ...
     case Err(CallRefused() | StoreUnavailable()): ...
-    case Err(lost): ...
+    case Err(lost_answer): ...
 """
 
 import asyncio
@@ -33,10 +33,14 @@
 
 
 class CallBudget:
-    """Calls that one daemon may make: a token bucket that callers wait for.
+    """Rate limit of one daemon's calls: a token bucket whose callers wait for a token.
 
-    When the store comes back, all daemons want it at once. The wait for a token is
-    stretched by a random factor, so that they spread out rather than beat in step.
+    When the store comes back after an outage, all daemons call it at the same time. A
+    random jitter is added to the wait for a token, so that their calls spread out.
+
+    Args:
+        calls_per_second: Rate of tokens; the burst is ``BURST_SECONDS`` of it.
+        seed: Seed of the jitter, for tests.
     """
 
     def __init__(self, calls_per_second: float, *, seed: int | None = None) -> None:
@@ -47,10 +51,10 @@
         self.random = random.Random(seed)
 
     async def take(self, wait_seconds: float) -> bool:
-        """Take a token, waiting for it if need be.
+        """Take a token, waiting for it if there is none.
 
         Returns:
-            False if none comes within the time.
+            False, without waiting, if the wait would exceed ``wait_seconds``.
         """
         self._fill()
         self.tokens -= 1
@@ -71,22 +75,30 @@
 
 
 class NumericResolver(Resolver):
-    """Resolver for IP numbers, which needs no thread for each call."""
+    """Resolver for IP numbers only; it needs no thread for each call."""
 
     async def resolve(
         self, host: str, port: int, family: socket.AddressFamily = socket.AF_UNSPEC
     ) -> list[tuple[int, tuple]]:
-        """Return the one socket address that an IP number and port stand for."""
+        """Return the socket address of an IP number and port."""
         if ipaddress.ip_address(host).version == 6:
             return [(socket.AF_INET6, (host, port, 0, 0))]
         return [(socket.AF_INET, (host, port))]
 
 
 class HttpCaller:
-    """Calls to one server; each opens its own connection.
+    """HTTP calls to one server; each opens a connection of its own.
+
+    So a connection that has died without a reset can fail only the call that opened it.
+
+    Args:
+        url: Scheme, host and port of the server.
+        budget: Limits the rate of calls.
+        call_seconds: Timeout of one call, and the longest wait for the budget.
+        tls: Context for mutual TLS; None for plain HTTP.
 
-    A connection that went silent without a reset is therefore never met twice.
-    ``unreached`` counts the calls that surely did not reach the server.
+    Attributes:
+        unreached: Number of calls that failed before they could reach the server.
     """
 
     def __init__(
@@ -123,18 +135,23 @@
         headers: dict[str, str] | None = None,
         seconds: float | None = None,
     ) -> Result[HTTPResponse, CallRefused | StoreUnavailable | Exception]:
-        """Send one request; an exception as error means that its fate is unknown.
+        """Send one request.
 
         Args:
             method: The HTTP method.
             path: Path and query.
-            body: What is sent; None sends none.
-            headers: Further headers.
-            seconds: Time limit of the whole call; None is ``call_seconds``.
+            body: Body of the request; None for none.
+            headers: Additional headers.
+            seconds: Timeout of the whole call; None is ``call_seconds``.
+
+        Returns:
+            The response, with any status. ``CallRefused`` or ``StoreUnavailable`` if
+            the request has surely not reached the server. An exception if the answer
+            was lost, so that the server may have processed the request or may yet.
         """
         if not await self.budget.take(self.call_seconds):
             wait = 1 / self.budget.rate
-            return Err(CallRefused("this process's call budget is spent", wait))
+            return Err(CallRefused("this process's call budget is exhausted", wait))
         request = HTTPRequest(
             self.url + path,
             method=method,
@@ -147,12 +164,13 @@
         )
         fetching = self.http.fetch(request, raise_error=False)
         # Tornado logs an error for a call that is cancelled while it runs, as the watch
-        # is at each orderly stop. So the call itself runs on until the client closes.
+        # is at each graceful stop. So the call itself is shielded and runs on until the
+        # client closes.
         fetching.add_done_callback(_retrieve_exception)
         try:
             return Ok(await asyncio.shield(fetching))
         except (ConnectionRefusedError, ssl.SSLError) as error:
-            # No connection stood, so nothing can have reached the server.
+            # No connection was established, so nothing can have reached the server.
             self.unreached += 1
             return Err(StoreUnavailable(reason_of(error)))
         except (HTTPTimeoutError, HTTPStreamClosedError, OSError) as error:
--- a/packages/cornelspan-common/src/cornelspan_common/errors.py
+++ b/packages/cornelspan-common/src/cornelspan_common/errors.py
@@ -1,7 +1,7 @@
 """Typed errors, passed as values in a ``result.Err``.
 
-Only a broken invariant raises; everything an operator, a peer or the platform can
-cause comes back as one of these.
+Only a violated invariant raises an exception. Errors that an operator, a peer or the
+platform can cause are returned as values.
 """
 
 from dataclasses import dataclass
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsError:
-    """A settings file that can't be used.
+    """A settings file that can't be read or is invalid.
 
     ``path`` names the field in JSON path notation, ``$.listen.port`` for example, and
-    is ``$`` when the whole file is at fault.
+    is ``$`` when the error concerns the whole file.
     """
 
     file: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamError:
-    """A stream to another process that could not be opened, or has ended."""
+    """A stream to another process could not be opened, or has ended."""
 
     address: str
     reason: str
@@ -36,13 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FrameError:
-    """Bytes from a peer that are no frame of ours."""
+    """Bytes from a peer that are not a valid frame."""
 
     reason: str
 
     def __str__(self) -> str:
-        return f"frame refused: {self.reason}"
+        return f"invalid frame: {self.reason}"
 
 
 class InvariantError(AssertionError):
-    """A state that the code rules out; the process stops rather than go on in it."""
+    """A violated invariant; the process stops, because its state can't be trusted."""
--- a/packages/cornelspan-common/src/cornelspan_common/expiring.py
+++ b/packages/cornelspan-common/src/cornelspan_common/expiring.py
@@ -1,6 +1,6 @@
-"""What is known of flows for as long as they are spoken of.
+"""A bounded map of flows whose entries expire after a time without use.
 
-owners: Expiring[str] = Expiring(idle_seconds=300.0)
+owners: ExpiringMap[str] = ExpiringMap(idle_seconds=300.0)
 owners.put(flow, "agent-3", now)
 owners.get(flow, now)
 """
@@ -16,17 +16,17 @@
 
 @dataclass(slots=True)
 class Entry(Generic[Value]):
-    """A value and when the entry was last used, in seconds of the loop's clock."""
+    """A value and the time of its last use, in seconds of the caller's clock."""
 
     value: Value
     used_at: float
 
 
 class ExpiringMap(Generic[Value]):
-    """Flow to value; bounded, and forgotten after a time without use.
+    """Values by flow; an entry expires ``idle_seconds`` after its last use.
 
-    The dictionary keeps the order of use, so both bounds look at its first entries
-    only.
+    The dictionary is in the order of use, so expiry and eviction look at its first
+    entries only. ``evicted`` counts the entries removed because of ``limit``.
     """
 
     def __init__(self, *, idle_seconds: float, limit: int = MAX_ENTRIES) -> None:
@@ -39,7 +39,7 @@
         return len(self.entries)
 
     def get(self, flow: int, now: float) -> Value | None:
-        """Return a flow's value and note the use; None if none is recorded."""
+        """Return a flow's value and mark it as used; None if there is none."""
         entry = self.entries.get(flow)
         if entry is None:
             return None
@@ -51,7 +51,7 @@
         return entry.value
 
     def put(self, flow: int, value: Value, now: float) -> None:
-        """Record a flow's value in place of any other."""
+        """Set a flow's value; evict the least recently used ones over the limit."""
         self.entries[flow] = Entry(value, now)
         self.entries.move_to_end(flow)
         while len(self.entries) > self.limit:
@@ -59,11 +59,11 @@
             self.evicted += 1
 
     def drop(self, flow: int) -> None:
-        """Forget a flow."""
+        """Remove a flow's entry, if there is one."""
         self.entries.pop(flow, None)
 
     def expire(self, now: float) -> int:
-        """Forget what was not used for the idle time; return how many they were."""
+        """Remove entries not used for ``idle_seconds``; return their number."""
         count = 0
         while self.entries:
             flow, entry = next(iter(self.entries.items()))
--- a/packages/cornelspan-common/src/cornelspan_common/hashing.py
+++ b/packages/cornelspan-common/src/cornelspan_common/hashing.py
@@ -1,4 +1,4 @@
-"""Hashing of flows and names; xxh3 from the xxhash library."""
+"""Hashing of flows and names with xxh3."""
 
 import math
 from collections.abc import Iterable
@@ -14,12 +14,14 @@
 
 
 def name_seed(name: str) -> int:
-    """Return the 64-bit seed that stands for a name in ``rank``."""
+    """Return the 64-bit seed of a name for ``rank``."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
 def score(flow: int, seed: int, weight: float) -> float:
-    """Weighted rendezvous score of an endpoint for a flow; the highest is home.
+    """Return an endpoint's score for a flow; the endpoint with the highest is its home.
+
+    This is weighted rendezvous hashing.
 
     Source: Schindelhauer and Schomaker, "Weighted distributed hash tables" (2005), the
     logarithmic method: ``-weight / ln(u)`` with u uniform in (0, 1).
--- a/packages/cornelspan-common/src/cornelspan_common/learned.py
+++ b/packages/cornelspan-common/src/cornelspan_common/learned.py
@@ -1,9 +1,9 @@
-"""Owners of flows as learned from agents' hints: a cache that saves a hop.
+"""Cache of flow owners, learned from agents' hints; it saves a hop.
 
-Losing an entry costs a hop by way of the flow's home, never the flow, so the cache is
-bounded and drops what was used longest ago.
+A missing entry only costs a hop by way of the flow's home. So the cache is bounded and
+evicts the least recently used entries.
 
-    learned = Learned(limit=200_000)
+    learned = OwnerCache(limit=200_000)
     learned.learn(flow, "agent-3")
     learned.owner(flow)
 """
@@ -12,7 +12,10 @@
 
 
 class OwnerCache:
-    """Flow to owner, least recently used first."""
+    """Owners by flow, least recently used first.
+
+    ``hits`` and ``misses`` count look-ups, ``evicted`` entries removed by the limit.
+    """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -35,7 +38,7 @@
         return owner
 
     def learn(self, flow: int, owner: str) -> None:
-        """Take in a hint; an owner of "" forgets the flow."""
+        """Record the owner from a hint; "" removes the flow's entry."""
         if not owner:
             self.owners.pop(flow, None)
             return
@@ -46,9 +49,10 @@
             self.evicted += 1
 
     def forget_owner(self, owner: str) -> int:
-        """Forget all flows of an owner that is gone; return how many they were.
+        """Remove all flows of an owner that is gone; return their number.
 
-        Kept, each would send its next packet to a process that is no more.
+        Otherwise the next packet of each flow would be sent to a process that no longer
+        exists.
         """
         flows = [flow for flow, name in self.owners.items() if name == owner]
         for flow in flows:
--- a/packages/cornelspan-common/src/cornelspan_common/logs.py
+++ b/packages/cornelspan-common/src/cornelspan_common/logs.py
@@ -1,9 +1,9 @@
-"""Structured logs: one JSON object a line, on standard error.
+"""Structured logs: one JSON object per line, on standard error.
 
-Events are logged by a short name with fields beside it:
+Events are logged with a short name as the message and fields in ``extra``:
 
     log = get_log("cornelspan.agent")
-    log.info("flow refused", extra={"flow": 17, "reason": "foreign"})
+    log.info("flow rejected", extra={"flow": 17, "reason": "foreign"})
 """
 
 import logging
@@ -14,16 +14,16 @@
 
 from cornelspan_common.settings import LogSettings
 
-# What a record has beside the fields that its caller gave.
+# Attributes that every record has; all others are fields given by the caller.
 OWN_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
 
 
 class JsonLines(logging.Formatter):
-    """Formats a record as one JSON object: when, how grave, whose, what, then fields.
+    """Formats a record as one JSON object: time, level, logger, message, then fields.
 
-    Written here, as the library for it takes 8 ms of processor time at each start of a
-    process and a megabyte of decimal numbers, dates and UUIDs, of which it needs none.
-    Starts are what callers wait for after a loss of power.
+    The library for this takes 8 ms of processor time at each start of a process, and
+    1 MB of memory for decimal numbers, dates and UUIDs, none of which are needed here.
+    After a power failure, callers wait for the processes to start.
     """
 
     def __init__(self, process: str) -> None:
@@ -48,9 +48,9 @@
 
 
 def _encoded(line: dict[str, Any]) -> str:
-    """Return a line as JSON; what JSON has no form for is written as text.
+    """Return a line as JSON; values that JSON can't represent are written as text.
 
-    A log line must not raise: its caller is in the middle of a decision.
+    Logging must not raise, because that would abort the caller's operation.
     """
     try:
         return msgspec.json.encode(line, enc_hook=str).decode()
@@ -60,7 +60,7 @@
 
 
 def get_log(name: str) -> logging.Logger:
-    """Return the logger of a module or of one daemon's part."""
+    """Return the logger of a module."""
     return logging.getLogger(name)
 
 
@@ -70,9 +70,9 @@
     """Send all records to a handler as JSON lines.
 
     Args:
-        settings: The level to log from.
+        settings: The minimum level.
         process: Name of the process, a field of each line.
-        handler: What takes the records; None writes them to standard error.
+        handler: Handler of the records; None writes them to standard error.
     """
     handler = handler or logging.StreamHandler(sys.stderr)
     handler.setFormatter(JsonLines(process))
@@ -81,5 +81,5 @@
 
 
 def set_level(settings: LogSettings) -> None:
-    """Log from the settings' level on."""
+    """Set the minimum level from the settings."""
     logging.getLogger().setLevel(settings.level)
--- a/packages/cornelspan-common/src/cornelspan_common/metrics.py
+++ b/packages/cornelspan-common/src/cornelspan_common/metrics.py
@@ -1,8 +1,7 @@
-"""Metrics by OpenTelemetry, served for Prometheus by tornado.
+"""OpenTelemetry metrics, served in Prometheus format by tornado.
 
-Hot paths add to plain integer attributes of a state object; OpenTelemetry reads them
-only when a scrape comes, because a counter call costs about as much as forwarding a
-packet.
+Hot paths increment plain integer attributes, and OpenTelemetry reads them only on a
+scrape, because a call of its counters costs about as much as forwarding a packet.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -23,27 +22,27 @@
 
 @dataclass(frozen=True, slots=True)
 class LabelledValue:
-    """One value of a metric that has several, told apart by labels."""
+    """One value of a metric with labels."""
 
     labels: dict[str, str]
     value: float
 
 
 class Metrics:
-    """The instruments of one process, each backed by a reading of its state."""
+    """The metrics of one process; each has a callback that reads its value."""
 
     def __init__(self) -> None:
         self.provider = MeterProvider(metric_readers=[PrometheusMetricReader()])
         self.meter = self.provider.get_meter("cornelspan")
 
     def count(self, name: str, description: str, reading: Reading) -> None:
-        """Register a count that only grows."""
+        """Register a counter, whose value never decreases."""
         self.meter.create_observable_counter(
             name, callbacks=[_callback(reading)], description=description
         )
 
     def gauge(self, name: str, description: str, reading: Reading) -> None:
-        """Register a value that goes up and down."""
+        """Register a gauge, whose value may rise and fall."""
         self.meter.create_observable_gauge(
             name, callbacks=[_callback(reading)], description=description
         )
@@ -51,7 +50,7 @@
     def labelled_gauge(
         self, name: str, description: str, readings: Callable[[], list[LabelledValue]]
     ) -> None:
-        """Register a metric with one value for each set of labels."""
+        """Register a gauge with one value for each set of labels."""
 
         def observe(options: CallbackOptions) -> Iterable[Observation]:
             return [Observation(each.value, each.labels) for each in readings()]
@@ -65,14 +64,14 @@
     """``GET /metrics`` in Prometheus text format."""
 
     def get(self) -> None:
-        """Answer with the newest readings."""
+        """Answer with the current values."""
         self.set_header("Content-Type", CONTENT_TYPE_LATEST)
         self.write(generate_latest(REGISTRY))
 
 
 @contextmanager
 def metrics_endpoint(address: Address | None) -> Iterator[None]:
-    """Serve ``/metrics`` at an address for as long as the context lasts."""
+    """Serve ``/metrics`` at an address, if it is given, while the context is open."""
     if address is None:
         yield
         return
--- a/packages/cornelspan-common/src/cornelspan_common/settings.py
+++ b/packages/cornelspan-common/src/cornelspan_common/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the two daemons: JSON, decoded and checked by msgspec.
+"""Settings of the daemons and the client: JSON, decoded and validated by msgspec.
 
-A settings file is a frozen structure. An unknown key, a wrong type or a value out of
-range is refused with the path of the field:
+Settings are frozen structures. An unknown key, a wrong type or a value out of range is
+an error with the path of the field:
 
     >>> decode_settings(b'{"name": 3}', BalancerSettings).unwrap_err().path
     '$.name'
@@ -29,11 +29,11 @@
 
 
 class Checked(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of every settings structure: frozen, and strict about its keys."""
+    """Base class of settings: frozen, and unknown keys are errors."""
 
 
 class Address(Checked, frozen=True, kw_only=True):
-    """An IP number and a port, as every process here is reached."""
+    """An IP number and a port."""
 
     host: str
     port: Port
@@ -46,7 +46,7 @@
 
 
 class LogSettings(Checked, frozen=True, kw_only=True):
-    """What is logged, as JSON lines on standard error."""
+    """The minimum level of the log, which is JSON lines on standard error."""
 
     level: Annotated[str, Meta(pattern="^(DEBUG|INFO|WARNING|ERROR)$")] = "INFO"
 
@@ -54,8 +54,11 @@
 class StreamSettings(Checked, frozen=True, kw_only=True):
     """Limits of a stream between two processes.
 
-    ``outgoing_bytes`` bounds what waits for a slow peer; packets beyond it are dropped
-    and counted, and their flow's ends send them again.
+    ``frame_bytes`` is the maximum size of a received frame. ``outgoing_bytes`` limits
+    the data that waits for a slow peer; packets beyond it are dropped and counted, and
+    the ends of their flows retransmit them. ``connect_seconds`` is the timeout for a
+    connection and for the first message on it. ``reconnect_seconds`` is the first wait
+    before a stream that has ended is opened again.
     """
 
     frame_bytes: Annotated[int, Meta(ge=65536, le=16777216)] = 4194304
@@ -65,9 +68,10 @@
 
 
 class TlsSettings(Checked, frozen=True, kw_only=True):
-    """Mutual TLS between the system's own processes and towards the store.
+    """Mutual TLS between the system's own processes and to the store.
 
-    ``enabled`` has no default: running without TLS is an explicit choice.
+    ``enabled`` has no default, so that running without TLS is an explicit choice.
+    ``certificate``, ``key`` and ``authority`` are paths of PEM files.
     """
 
     enabled: bool
@@ -77,7 +81,11 @@
 
 
 class StoreSettings(Checked, frozen=True, kw_only=True):
-    """Where the platform's object store is, and how much of it one daemon may use."""
+    """Address of the platform's object store, and limits of the calls to it.
+
+    ``call_seconds`` is the timeout of a call, ``calls_per_second`` the rate limit of
+    one process.
+    """
 
     address: Address
     call_seconds: Seconds = 2.0
@@ -85,13 +93,15 @@
 
 
 class ControlSettings(Checked, frozen=True, kw_only=True):
-    """Times of configuration and membership.
-
-    A member beats to its relays every ``heartbeat_seconds``; a relay beats back every
-    ``relay_heartbeats`` of them. After ``silent_heartbeats`` without a word a member is
-    suspected, after ``lost_seconds`` when its stream has ended. ``watch_seconds``
-    bounds how long a missed event of the store goes unseen; without any relay a daemon
-    reads the store itself every ``fallback_seconds``.
+    """Intervals and timeouts of configuration and membership.
+
+    A member sends its relays a heartbeat every ``heartbeat_seconds``; a relay sends one
+    back every ``relay_heartbeats`` of these intervals. A member is suspected to be dead
+    after ``silent_heartbeats`` intervals without a message, or ``lost_seconds`` after
+    its stream has ended. ``watch_seconds`` limits how long a missed event of the store
+    goes unnoticed. While it has no relay, a daemon reads the store itself every
+    ``fallback_seconds``. Every ``publish_seconds`` a relay writes a changed list of
+    members to the store.
     """
 
     heartbeat_seconds: Seconds = 5.0
@@ -104,17 +114,17 @@
 
     @property
     def silent_seconds(self) -> float:
-        """How long a member may be silent before it is suspected."""
+        """Time without a message after which a member is suspected to be dead."""
         return self.heartbeat_seconds * self.silent_heartbeats
 
     @property
     def relay_silent_seconds(self) -> float:
-        """How long a relay may be silent before another takes its place."""
+        """Time without a message after which another balancer replaces a relay."""
         return self.heartbeat_seconds * self.relay_heartbeats * 2
 
 
 class DaemonSettings(Checked, frozen=True, kw_only=True):
-    """What balancer and agent have in common."""
+    """Settings that balancer and agent have in common."""
 
     name: Name
     datacentre: Name
@@ -136,7 +146,7 @@
 
 
 class AgentSettings(DaemonSettings, frozen=True, kw_only=True):
-    """Settings of ``cornelspand agent``, beside the one endpoint that it serves."""
+    """Settings of ``cornelspand agent``, which runs beside the endpoint it serves."""
 
     service: Name
     endpoint: Address
@@ -148,8 +158,8 @@
 class ClientSettings(Checked, frozen=True, kw_only=True):
     """Settings of ``cornelspan``, the operators' client.
 
-    ``balancers`` are asked for status when the store, which lists them all, is down;
-    one of each data centre is enough.
+    The store lists all balancers. ``balancers`` are asked for their status while the
+    store is unavailable; one in each data centre is enough.
     """
 
     store: StoreSettings
@@ -161,7 +171,7 @@
 def load_settings(
     file: str, kind: type[SettingsType]
 ) -> Result[SettingsType, SettingsError]:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Args:
         file: Path of a JSON file.
@@ -180,12 +190,15 @@
 def decode_settings(
     text: bytes, kind: type[SettingsType], *, file: str = "settings"
 ) -> Result[SettingsType, SettingsError]:
-    """Decode and check settings from JSON text.
+    """Decode and validate settings from JSON text.
 
     Args:
         text: The JSON document.
-        kind: The settings structure that it must fit.
-        file: Name for error messages.
+        kind: The settings class to decode to.
+        file: File name for error messages.
+
+    Returns:
+        The settings, or an error that names the file, the field and the reason.
     """
     try:
         return Ok(msgspec.json.decode(text, type=kind))
--- a/packages/cornelspan-common/src/cornelspan_common/store_errors.py
+++ b/packages/cornelspan-common/src/cornelspan_common/store_errors.py
@@ -1,21 +1,21 @@
-"""Why a call to the platform's store gave no result, as typed values."""
+"""Typed errors of calls to the platform's store."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class StoreUnavailable:
-    """The store gave no answer, and the call surely changed nothing."""
+    """The store gave no usable answer, and the call surely changed nothing."""
 
     reason: str
 
     def __str__(self) -> str:
-        return f"the store can't be reached: {self.reason}"
+        return f"no usable answer from the store: {self.reason}"
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """A write's answer was lost: it may have taken effect, or may yet."""
+    """The answer to a write was lost: it may have taken effect, or may do so yet."""
 
     name: str
     reason: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionConflict:
-    """A conditional write found another version, 0 for none."""
+    """A conditional write found another version of the object; 0 if there is none."""
 
     name: str
     version: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectMissing:
-    """There is no object of that name."""
+    """The store has no object of that name."""
 
     name: str
 
@@ -47,7 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRefused:
-    """The store, or this process's own call budget, refused the call."""
+    """The store rejected the call, or this process's call budget didn't allow it.
+
+    ``retry_seconds`` is how long to wait before the next call, 0 if not known.
+    """
 
     reason: str
     retry_seconds: float = 0.0
--- a/packages/cornelspan-common/src/cornelspan_common/tasks.py
+++ b/packages/cornelspan-common/src/cornelspan_common/tasks.py
@@ -1,4 +1,4 @@
-"""Groups of tasks that end with their owner."""
+"""Task groups whose tasks are cancelled when their context ends."""
 
 import asyncio
 from collections.abc import AsyncIterator, Coroutine
@@ -13,13 +13,13 @@
 
 
 class Tasks:
-    """The running tasks of one owner; a failed one is logged, never lost."""
+    """The running tasks of one group; an exception that ends a task is logged."""
 
     def __init__(self) -> None:
         self.running: set[asyncio.Task] = set()
 
     def start(self, work: Coroutine[Any, Any, Any], *, name: str) -> asyncio.Task:
-        """Run a coroutine until it ends or its owner does."""
+        """Run a coroutine as a task until it ends or the group is closed."""
         task = asyncio.create_task(work, name=name)
         self.running.add(task)
         task.add_done_callback(self._ended)
@@ -38,8 +38,9 @@
     try:
         yield tasks
     finally:
-        # A library may take a cancellation for its own time-out and go on (wait_for of
-        # Python 3.11 does); cancelled once, such a task would hold its owner for ever.
+        # A library may swallow a cancellation that coincides with its own timeout, as
+        # wait_for of Python 3.11 does. Such a task is cancelled again; otherwise this
+        # would wait for it for ever.
         while running := set(tasks.running):
             for task in running:
                 task.cancel()
--- a/packages/cornelspan-common/src/cornelspan_common/tls.py
+++ b/packages/cornelspan-common/src/cornelspan_common/tls.py
@@ -1,7 +1,7 @@
-"""Mutual TLS between the system's own processes, and towards the store.
+"""Mutual TLS between the system's own processes, and to the store.
 
-Both ends show a certificate of the same authority. A process is reached by its IP
-number, so that is the name which its certificate has to carry.
+Both ends present a certificate of the same authority. Processes connect to IP numbers,
+so a certificate must have its process's IP number as a subject alternative name.
 
     match open_tls(settings.tls):
         case Ok(tls): ...
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tls:
-    """The contexts of one process; both None when TLS is off."""
+    """The TLS contexts of one process; both are None while TLS is disabled."""
 
     settings: TlsSettings
     client: ssl.SSLContext | None = None
@@ -37,10 +37,10 @@
 
 
 def open_tls(settings: TlsSettings) -> Result[Tls, SettingsError]:
-    """Return the contexts that the settings ask for.
+    """Create the TLS contexts for the settings.
 
     Returns:
-        An error that names the file which can't be used.
+        The contexts, or an error that names the file that is missing or invalid.
     """
     if not settings.enabled:
         return Ok(PLAIN)
@@ -56,11 +56,15 @@
 
 
 async def reload_tls(tls: Tls, *, seconds: float = RELOAD_SECONDS) -> None:
-    """Load certificate, key and authority again whenever their files change.
+    """Reload certificate, key and authority whenever their files change.
 
-    Streams that are open go on; new ones use what was loaded last. Files that can't be
-    used, as in the midst of a replacement, leave the contexts as they are and are tried
-    again. An authority that was taken out stays trusted until the process ends.
+    Open streams are not affected; new ones use the files that were loaded last. Invalid
+    files, for example during a replacement, leave the contexts unchanged and are tried
+    again. An authority that is removed stays trusted until the process restarts.
+
+    Args:
+        tls: The contexts to reload the files into.
+        seconds: Interval of the checks for changes.
     """
     if not tls.settings.enabled:
         return
@@ -72,14 +76,14 @@
             continue
         match _load(tls):
             case Err(error):
-                log.error("TLS files refused", extra={"why": str(error)})
+                log.error("invalid TLS files", extra={"why": str(error)})
             case _:
                 loaded = now
-                log.info("TLS files loaded anew")
+                log.info("TLS files reloaded")
 
 
 def reason_of(error: Exception) -> str:
-    """Return why a connection failed, in words an operator can act on.
+    """Return why a connection failed, as a message for operators.
 
     >>> reason_of(OSError("no route"))
     'no route'
@@ -101,8 +105,8 @@
         if not Path(file).is_file():
             return Err(SettingsError(file, f"$.tls.{field}", "no such file"))
     try:
-        # Certificate and key are tried on a context of their own first: a pair that
-        # doesn't match would leave the contexts in use half changed.
+        # Certificate and key are first loaded into a temporary context. A pair that
+        # doesn't match would leave the contexts in use partly updated.
         ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT).load_cert_chain(
             settings.certificate, settings.key
         )
--- a/packages/cornelspan-common/src/cornelspan_common/tokens.py
+++ b/packages/cornelspan-common/src/cornelspan_common/tokens.py
@@ -1,13 +1,19 @@
-"""A token bucket for those who do without rather than wait."""
+"""A token bucket that rejects instead of waiting."""
 
 from dataclasses import dataclass
 
 
 @dataclass
 class TokenBucket:
-    """Tokens that come at a rate and are kept up to a burst; it begins full.
+    """A token bucket, full at first; it refills at ``rate`` tokens a second.
 
-    Times are in seconds of one clock, which the callers read.
+    Times are in seconds of the caller's clock.
+
+    Attributes:
+        rate: Tokens a second.
+        burst: Capacity of the bucket in tokens.
+        missing: Tokens that are missing from a full bucket; may exceed ``burst``.
+        filled_at: Time of the last refill; None before the first ``take``.
     """
 
     rate: float
@@ -18,8 +24,8 @@
     def take(self, count: float, now: float) -> bool:
         """Take tokens, and return whether there were enough.
 
-        A count above the burst is given from a full bucket, which is then in debt:
-        refused, it would never be given.
+        A count above the burst is taken from a full bucket, whose balance is then
+        negative. Otherwise such a count could never be taken.
         """
         if self.filled_at is not None:
             grown = (now - self.filled_at) * self.rate
