--- a/tests/test_bounded_logs.py
+++ b/tests/test_bounded_logs.py
@@ -1,4 +1,4 @@
-"""A daemon's log neither floods nor blocks."""
+"""The log handler limits the rate of lines and never blocks the daemon."""
 
 import json
 import logging
@@ -38,10 +38,10 @@
 
 
 def test_a_reader_that_stands_still_does_not_stop_the_daemon():
-    """Callers notice nothing of a log reader that hangs.
+    """A log reader that hangs does not affect callers.
 
-    The pipe fills up; a blocking write would stop the daemon's only thread. Lines are
-    dropped instead, and the first that gets through again tells how many.
+    The pipe fills up, and a blocking write would stop the daemon's only thread. Lines
+    are dropped instead, and the next line that is written has their number.
     """
     reader, writer = os.pipe()
     handler = BoundedHandler(writer)
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -1,4 +1,4 @@
-"""Channels: whole and in order over a network that loses, repeats and reorders."""
+"""Channels over a network that drops, duplicates and reorders packets."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 def pair(seed, *, loss=0.0):
-    """Two ends of one flow with a seeded network between them."""
+    """Return the two ends of a flow, connected by a simulated, seeded network."""
     random_numbers = random.Random(seed)
     ends = {}
 
@@ -51,8 +51,8 @@
 
 @pytest.mark.parametrize("seed", range(5))
 async def test_both_directions_are_whole_at_five_percent_loss(seed):
-    # The caller sees its whole answer although one packet in twenty is lost, one in
-    # twenty overtaken and one in a hundred doubled: what is missing is sent again.
+    # The caller gets its complete answer, although 5 % of the packets are lost, 5 % are
+    # reordered and 1 % are duplicated: lost packets are retransmitted.
     left, right = pair(seed, loss=LOSS)
     request = random.Random(seed).randbytes(50_000)
     answer = random.Random(seed + 1).randbytes(1_000_000)
@@ -94,8 +94,8 @@
 
 
 async def test_lost_peer_is_found_out():
-    # The peer's process is killed, so nothing is acknowledged any more. The sender
-    # tries a bounded number of times and then reports the peer as lost.
+    # The peer's process has been killed, so nothing is acknowledged any more. After a
+    # limited number of retransmissions the sender reports the peer as lost.
     left, _ = pair(4, loss=1.0)
     await left.write(b"x")
     left.sending.timeouts = 1000
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,8 +1,8 @@
-"""Fuzzing of what comes from outside: settings, frames and the store's answers.
+"""Fuzzing of external input: settings, frames and answers of the store.
 
-Cases a run: SETTINGS_CASES for each of three properties of settings, FRAME_CASES for
-each of two of frames, STREAM_CASES garbage streams at a live server, and ANSWER_CASES
-answers of the store for each of its calls.
+A run has SETTINGS_CASES cases for each of three properties of settings, FRAME_CASES for
+each of two properties of frames, STREAM_CASES streams with invalid bytes to a running
+server, and ANSWER_CASES answers of the store for each of its calls.
 """
 
 import asyncio
@@ -86,7 +86,7 @@
 @frames
 @given(st.lists(values, max_size=4), st.integers(0, 4))
 def test_foreign_messages_cost_only_themselves(foreign, place):
-    # Any msgpack between two of our messages leaves both as they were.
+    # Arbitrary msgpack values in a frame don't affect its valid message.
     beat = Heartbeat("balancer-1", 1, 7)
     parts = [msgspec.msgpack.encode(each) for each in foreign if _packable(each)]
     parts[place:place] = [msgspec.msgpack.encode(beat)]
@@ -109,9 +109,9 @@
 
 
 async def test_garbage_streams_leave_a_good_one_alone():
-    # Strangers connect and send any bytes, some after a proper hello. A peer beside
-    # them sends beats all the while: each must arrive, and when the strangers have
-    # gone, nothing of them is left.
+    # Many streams send random bytes, some of them after a valid hello. A valid peer
+    # sends heartbeats meanwhile. Each of these must arrive, and when the invalid
+    # streams have ended, no peer and no task of them may be left.
     got = []
 
     async def collect(peer):
@@ -119,7 +119,7 @@
             got.extend(each.revision for each in batch if type(each) is Heartbeat)
 
     limits = StreamSettings()
-    greeting = msgspec.msgpack.encode([hello("stranger")])
+    greeting = msgspec.msgpack.encode([hello("invalid")])
     greeting = len(greeting).to_bytes(4, "big") + greeting
     loop = asyncio.get_running_loop()
     async with serve_peers(STREAMS_AT, hello("server"), limits, collect) as server:
@@ -139,7 +139,7 @@
 
 
 def _garbage(cases):
-    """Draw byte strings outside a property, as one stream takes one of them."""
+    """Draw random byte strings, one for each stream, outside of a property."""
     found = []
 
     @settings(max_examples=cases, deadline=None, database=None, derandomize=True)
@@ -152,13 +152,13 @@
 
 
 class AnyAnswer(tornado.web.RequestHandler):
-    """Answers whatever it is told to."""
+    """Answers every request with a given status, body and Etag."""
 
-    def initialize(self, told):
-        self.told = told
+    def initialize(self, answer):
+        self.answer = answer
 
     def prepare(self):
-        status, body, etag = self.told
+        status, body, etag = self.answer
         self.set_status(status)
         self.set_header("Etag", etag)
         if status not in (204, 304) and status >= 200:
@@ -182,13 +182,13 @@
     suppress_health_check=[HealthCheck.too_slow],
 )
 @given(st.lists(answers, min_size=1, max_size=1))
-def test_any_answer_of_the_store_is_a_result(told):
-    asyncio.run(_ask_all(told[0]))
+def test_any_answer_of_the_store_is_a_result(answer):
+    asyncio.run(_ask_all(answer[0]))
 
 
-async def _ask_all(told):
+async def _ask_all(answer):
     application = tornado.web.Application(
-        [(".*", AnyAnswer, {"told": told})], log_function=lambda handler: None
+        [(".*", AnyAnswer, {"answer": answer})], log_function=lambda handler: None
     )
     server = HTTPServer(application)
     server.listen(STORE_AT.port, STORE_AT.host)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines are JSON objects, whatever is logged."""
+"""Log lines are JSON objects, whatever values are logged."""
 
 import json
 import logging
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is refused, and how the error names the field."""
+"""Invalid settings are errors that name the field."""
 
 import json
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Frames between two processes, and what a bad one does."""
+"""Streams between two processes: order, valid and invalid frames, hellos."""
 
 import asyncio
 
@@ -50,11 +50,11 @@
 
 
 async def test_fast_peer_leaves_the_others_their_turn(here):
-    # Many frames arrive at once, so each is read without a pause. Another task must
-    # still run among them, or all that it sends meanwhile is dropped as unwritten.
+    # If many frames arrive at once, they are read without waiting. Other tasks must
+    # still get to run in between, or packets they forward are dropped as unwritten.
     turns = []
     done = asyncio.Event()
-    half_a_turn = bytes(TURN_BYTES // 2)
+    half_turn_bytes = bytes(TURN_BYTES // 2)
 
     async def collect(peer):
         frames = 0
@@ -73,7 +73,7 @@
         async with open_peer(here, hello("client"), LIMITS) as opened:
             peer = opened.unwrap()
             for number in range(20):
-                peer.send(Packet(Kind.DATA, number, "", "", body=half_a_turn))
+                peer.send(Packet(Kind.DATA, number, "", "", body=half_turn_bytes))
                 peer.flush()
             await asyncio.gather(count_turns(), asyncio.wait_for(done.wait(), 5))
     frames = "".join("f" if turn == "frame" else " " for turn in turns).split()
@@ -95,8 +95,8 @@
 
 
 def test_bad_message_costs_only_itself():
-    # A peer of a newer version sends a message we don't know between two we do. The
-    # frame decodes message by message, so the flows of its neighbours go on.
+    # A peer of a newer version sends an unknown message between two known ones. The
+    # frame is decoded message by message, so only the unknown one is lost.
     beat = Heartbeat("b", 1, 1)
     frame = msgspec.msgpack.encode([beat, [999, "from tomorrow"], beat])
     assert decode_batch(frame) == Ok(([beat, beat], 1))
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Groups of tasks end with their owner, whatever their tasks do."""
+"""Task groups end with their context, whatever their tasks do."""
 
 import asyncio
 
@@ -6,8 +6,8 @@
 
 
 async def test_task_that_swallows_a_cancellation_still_ends():
-    # A task is cancelled in the moment in which a call of its own ends, and the
-    # library keeps the cancellation. The owner cancels again, so it is not held.
+    # A task is cancelled at the moment in which one of its calls ends, and the library
+    # swallows the cancellation. The group cancels again, so it does not wait for ever.
     swallowed = []
 
     async def stubborn():
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS: who is let in, what the refused are told, and new keys at run time."""
+"""Mutual TLS: which peers are accepted, error messages, reloading of files."""
 
 import asyncio
 import datetime
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def issue(tmp_path):
-    """Return a function that writes a key and certificate and gives their settings."""
+    """Return a function that writes a key and certificate and returns the settings."""
 
     def write(authority, name, *, address="127.0.0.1", expired=False):
         moment = datetime.datetime(2020, 1, 1) if expired else None
@@ -111,9 +111,9 @@
     other = open_tls(issue(trustme.CA(), "other")).unwrap()
     _, opened = await exchange(here, other, ours)
     assert "certificate refused" in opened.unwrap_err().reason
-    trusting = issue(trustme.CA(), "stranger")
-    authority.cert_pem.write_to_path(trusting.authority)
-    got, opened = await exchange(here, ours, open_tls(trusting).unwrap())
+    untrusted = issue(trustme.CA(), "untrusted")
+    authority.cert_pem.write_to_path(untrusted.authority)
+    got, opened = await exchange(here, ours, open_tls(untrusted).unwrap())
     assert isinstance(opened, Err)
     assert got == []
 
@@ -127,8 +127,8 @@
 
 
 async def test_new_files_are_loaded_without_a_restart(here, issue):
-    # The server runs on a certificate that has expired. Its files are replaced while
-    # it runs, and the next stream is accepted; a broken file between changes nothing.
+    # The server's certificate has expired. Its files are replaced while it runs, and
+    # the next stream succeeds; an invalid file in between has no effect.
     authority = trustme.CA()
     settings = issue(authority, "server", expired=True)
     server = open_tls(settings).unwrap()
@@ -150,12 +150,12 @@
     authority = trustme.CA()
     server = open_tls(issue(authority, "store")).unwrap()
     client = open_tls(issue(authority, "client")).unwrap()
-    stranger = open_tls(issue(trustme.CA(), "stranger")).unwrap()
+    untrusted = open_tls(issue(trustme.CA(), "untrusted")).unwrap()
     settings = StoreSettings(address=here)
     async with object_store(here, tls=server.server):
         good = StoreClient(settings, tls=client.client)
         assert (await good.put("a", b"1")).is_ok()
-        refused = await StoreClient(settings, tls=stranger.client).get("a")
+        refused = await StoreClient(settings, tls=untrusted.client).get("a")
         assert isinstance(refused.unwrap_err(), StoreUnavailable)
         assert "certificate" in str(refused.unwrap_err())
 
@@ -167,8 +167,8 @@
 
 
 async def test_daemons_talk_only_over_tls_when_it_is_on(base_port, issue):
-    # Balancer, agent and store all have certificates of one authority. They find each
-    # other; a process without a certificate gets no stream to either.
+    # Balancer, agent and store have certificates of one authority and connect to each
+    # other. A process without a certificate can't open a stream to either daemon.
     authority = trustme.CA()
     tls = open_tls(issue(authority, "daemon")).unwrap()
     store, entry, hub = (
