--- a/packages/cornelspan-common/src/cornelspan_common/channel.py
+++ b/packages/cornelspan-common/src/cornelspan_common/channel.py
@@ -178,7 +178,7 @@
             reason = packet.body.decode(errors="replace")
             self._fail(f"reset by peer: {reason}")
             return
-        if packet.kind == Kind.ACCEPT and not self._accepted_by(packet.body):
+        if packet.kind == Kind.ACCEPT and not self._record_owner(packet.body):
             return
         lost = self.sending.acknowledge(
             packet.acknowledged, packet.selective, packet.window, self.last_received
@@ -211,7 +211,7 @@
         if self.error is None:
             self.transmit(self._packet(Kind.ACK, 0, b""))
 
-    def _accepted_by(self, owner: bytes) -> bool:
+    def _record_owner(self, owner: bytes) -> bool:
         """Record the owner that accepts; return False and reset on a second owner.
 
         If the first owner has died and a second one takes over, the data already sent
--- a/packages/cornelspan-common/src/cornelspan_common/ejection.py
+++ b/packages/cornelspan-common/src/cornelspan_common/ejection.py
@@ -19,11 +19,12 @@
 
 
 class EjectionPolicy(Checked, frozen=True, kw_only=True):
-    """When an endpoint is ejected, for how long, and how many may be at once.
+    """When an endpoint is ejected, for how long, and how many may be ejected at once.
 
-    ``failures`` in a row eject an endpoint, and so does a latency of more than
-    ``slow_ratio`` times the median of the service's other endpoints. The first ejection
-    lasts ``seconds``, and each further one twice as long, at most 32 times ``seconds``.
+    ``failures`` in a row eject an endpoint. In an HTTP service it is also ejected if
+    its mean latency exceeds ``slow_ratio`` times the median of the other endpoints. The
+    first ejection lasts ``seconds``, and each further one twice as long, at most 32
+    times ``seconds``.
     ``share_limit`` is the largest share of the service's endpoints that may be
     unavailable.
     """
--- a/packages/cornelspan-common/src/cornelspan_common/links.py
+++ b/packages/cornelspan-common/src/cornelspan_common/links.py
@@ -1,6 +1,6 @@
 """Streams that this process keeps open to others, with one task for each.
 
-links.want("agent-3", address)
+links.keep_open("agent-3", address)
 if peer := links.get("agent-3"):
     peer.send(message)
 """
@@ -18,7 +18,7 @@
 from cornelspan_common.streams import Peer, open_peer
 from cornelspan_common.tasks import Tasks
 
-MAXIMUM_RECONNECT_SECONDS = 2.0
+MAX_RECONNECT_SECONDS = 2.0
 
 log = get_log(__name__)
 Handler = Callable[[Peer], Awaitable[None]]
@@ -101,7 +101,7 @@
             # Without jitter all processes that lost the same peer would reconnect to it
             # at the same moment.
             await asyncio.sleep(wait * random.uniform(0.5, 1.5))
-            wait = min(MAXIMUM_RECONNECT_SECONDS, 2 * wait)
+            wait = min(MAX_RECONNECT_SECONDS, 2 * wait)
 
     async def _run_handler(self, peer: Peer) -> None:
         self.open[peer.name] = peer
