--- a/packages/cornelspan-common/src/cornelspan_common/service_levels.py
+++ b/packages/cornelspan-common/src/cornelspan_common/service_levels.py
@@ -34,6 +34,6 @@
 
 
 class SealedMinute(Message, frozen=True, tag=87):
-    """The receiver's counts of all minutes up to this one are saved in the store."""
+    """The receiver's minutes up to this one are sealed: saved in the store, final."""
 
     minute: int
--- a/packages/cornelspan-common/src/cornelspan_common/streams.py
+++ b/packages/cornelspan-common/src/cornelspan_common/streams.py
@@ -47,8 +47,8 @@
 
     Packets of flows may be dropped: beyond ``outgoing_bytes`` they are dropped and
     counted, so that a slow peer can't use up memory, and the ends of the flow
-    retransmit them. Control messages are never dropped. If they exceed twice that
-    limit, the stream is closed, and the peer starts again from a snapshot.
+    retransmit them. Control messages are never dropped. If more than twice that limit
+    waits, the stream is closed, and the peer starts again from a snapshot.
 
     Attributes:
         hello: The peer's hello; None before it has arrived.
