--- a/packages/cornelspan-common/src/cornelspan_common/messages.py
+++ b/packages/cornelspan-common/src/cornelspan_common/messages.py
@@ -1,4 +1,4 @@
-"""The one union of all messages that a stream between two processes may carry.
+"""The union of all messages that a stream between two processes may carry.
 
 Tag ranges: packets 1-19, ownership 20-39, requests 40-59, control 60-89.
 """
@@ -28,10 +28,10 @@
 )
 from cornelspan_common.packets import Hello, Hint, Leaving, Packet, Routed
 from cornelspan_common.requests import (
+    AnswerAck,
     AnswerFailed,
     AnswerPart,
     AnswerStart,
-    AnswerTaken,
     KeyClaim,
     KeyDone,
     KeyLeave,
@@ -43,7 +43,7 @@
     RequestPart,
     RequestStart,
 )
-from cornelspan_common.service_levels import Sealed, ServiceCounts
+from cornelspan_common.service_levels import SealedMinute, ServiceCounts
 
 AnyMessage = (
     Hello
@@ -71,14 +71,14 @@
     | MemberStatus
     | Status
     | ServiceCounts
-    | Sealed
+    | SealedMinute
     | RequestStart
     | RequestPart
     | RequestCancel
     | AnswerStart
     | AnswerPart
     | AnswerFailed
-    | AnswerTaken
+    | AnswerAck
     | KeyClaim
     | KeyVote
     | KeyRelease
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from cornelspan_common.bounded_logs import complaint_bucket
-from cornelspan_common.learned import Learned
+from cornelspan_common.bounded_logs import invalid_record_bucket
+from cornelspan_common.learned import OwnerCache
 from cornelspan_common.logs import get_log, set_level
 from cornelspan_common.tokens import TokenBucket
 from cornelspan_passthrough import messages
@@ -97,10 +97,10 @@
     pings: int = 0
 
     def __post_init__(self) -> None:
-        self.owners = Learned(self.settings.learned_flows)
+        self.owners = OwnerCache(self.settings.learned_flows)
         self.search_times = Histogram()
         self.failure_detector = FailureDetector()
-        self.log_rate_limit = complaint_bucket()
+        self.log_rate_limit = invalid_record_bucket()
         self.query_budget = TokenBucket(QUERIES_PER_SECOND, QUERIES_PER_SECOND)
         self.health = AgentHealthTable(self.settings.pulse.missed_pings)
         self.client_port = socket_address(self.settings.packets)[1]
