--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
@@ -72,7 +72,8 @@
 # waiting.
 BUSY_FACTOR = 2
 # A flow's first request follows its first packet after a round trip to the client.
-# Flows that started within this time are counted as expected requests.
+# Flows that started within this time count as requests that are about to arrive. If
+# the request has arrived already, the flow counts twice.
 FIRST_REQUEST_SECONDS = 0.02
 
 log = get_log(__name__)
@@ -217,8 +218,8 @@
         balancer sends its share to the same idle endpoint before that balancer learns
         of the others' flows.
         """
-        expected_requests = self.flows.started_since(now - FIRST_REQUEST_SECONDS)
-        work = self.flows.running + len(self.request_queue) + expected_requests
+        recently_started_flows = self.flows.started_since(now - FIRST_REQUEST_SECONDS)
+        work = self.flows.running + len(self.request_queue) + recently_started_flows
         return work >= BUSY_FACTOR * self.endpoint.capacity + self.requests_beyond_slots
 
     def _reject(self, flow: int, reason: int, packet: bytes, balancer: str) -> None:
@@ -302,10 +303,12 @@
         release_requests(self, now)
 
     def _learn_flow(self, header: PacketHeader, now: float) -> TrackedFlow:
-        """Add an unknown flow that the endpoint holds, and tell the balancer the owner.
+        """Add an unknown flow of which the endpoint has sent a packet.
 
-        Usually the flow opened before this process started. Its homes are unknown here;
-        a balancer that had to search for the owner updates them.
+        Usually the flow opened before this process started. If a balancer's packet of
+        it was forwarded to the endpoint, that balancer is told that this agent is the
+        owner. The flow's homes are unknown here; a balancer that had to search for the
+        owner tells them.
         """
         balancer = self.unconfirmed_packets.pop(
             header.flow, NO_UNCONFIRMED_PACKET
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent_sockets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent_sockets.py
@@ -17,7 +17,8 @@
 ) -> Iterator[Agent]:
     """Yield an agent whose sockets are open until the context ends.
 
-    Times are of the monotonic clock, which the event loop uses too.
+    The endpoint sends its packets to ``settings.outbound``. Times are of the monotonic
+    clock, which the event loop uses too.
 
     The endpoint reports as soon as it has started, perhaps before this process can
     answer. If the connection were refused, the endpoint would retry as late as 0.8 s
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer.py
@@ -69,7 +69,7 @@
     ``owners`` caches the owners of flows, ``openings`` first packets that were placed
     recently or are held, ``searches`` the running searches for owners.
     ``newest_version`` is the newest configuration version that a balancer's ping has
-    named, ``newest_peer`` that balancer. ``last_ping_from`` is the time of each
+    named, ``newest_version_peer`` that balancer. ``last_ping_from`` is the time of each
     balancer's last ping.
     """
 
@@ -89,7 +89,7 @@
     agents: frozenset[str] = frozenset()
     last_ping_from: dict[str, float] = field(default_factory=dict)
     newest_version: int = 0
-    newest_peer: str = ""
+    newest_version_peer: str = ""
     first_pong_at: float | None = None
     members_changed_at: float | None = None
     stopping: bool = False
@@ -196,20 +196,21 @@
             return
         if self.members.get(pong.address) is None:
             # A late pong of an agent whose entry was removed. Recording it would add
-            # the agent again, and nothing would remove it.
+            # the agent again, and only the one balancer that is responsible for
+            # pruning it would remove it again.
             return
-        previous = self.health.of(pong.address).pong
+        previous_pong = self.health.of(pong.address).pong
         was_silent = self.health.record_pong(pong, now)
         if was_silent:
-            log.info("agent answers", extra={"agent": pong.address})
+            log.info("agent answers again", extra={"agent": pong.address})
         if self.first_pong_at is None:
             self.first_pong_at = now
-        if was_silent or previous is None:
+        if was_silent or previous_pong is None:
             place_held_packets(self, now)
             query_returned_agent(self, pong.address)
-        if previous is None or previous.state != pong.state:
+        if previous_pong is None or previous_pong.state != pong.state:
             extra = {"agent": pong.address, "state": pong.state}
-            log.info("agent state changed", extra=extra)
+            log.info("agent reported endpoint state", extra=extra)
         member = Member(pong.address, AGENT, pong.datacentre, pong.service)
         if self.members.add_announced(member):
             self.recompute_from_members(now)
@@ -224,7 +225,7 @@
         self.last_ping_from[ping.address] = now
         if ping.version > self.newest_version:
             self.newest_version = ping.version
-            self.newest_peer = ping.address
+            self.newest_version_peer = ping.address
         if self.members.get(ping.address) is None:
             member = Member(ping.address, BALANCER, "", "")
             self.members.add_announced(member)
@@ -300,9 +301,10 @@
     def is_ready(self) -> bool:
         """Whether routers may send packets here.
 
-        Without a configuration this balancer would reject every new flow while another
-        balancer could serve it; likewise without an agent that may take flows, which is
-        one that isn't known to be silent, draining or down.
+        A balancer that is stopping is not ready. Without a configuration it could only
+        hold first packets and then drop them, while another balancer could place them.
+        It also needs an agent that isn't known to be silent and whose endpoint isn't
+        draining or down; without one it would reject new flows.
         """
         if self.stopping or self.routes.configuration is None:
             return False
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/balancer_sockets.py
@@ -17,7 +17,8 @@
 ) -> Iterator[Balancer]:
     """Yield a balancer whose sockets are open until the context ends.
 
-    Times come from the monotonic clock, which the event loop uses as well.
+    Clients' packets arrive at ``settings.packets``. Times come from the monotonic
+    clock, which the event loop uses as well.
     """
     now = time.monotonic
     internal_address = (settings.address, settings.internal_port)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/dead_flows.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/dead_flows.py
@@ -1,4 +1,4 @@
-"""Resets flows when an incarnation of the agent's endpoint ends."""
+"""Resets dead flows, those that the agent's endpoint no longer holds."""
 
 from typing import TYPE_CHECKING
 
@@ -20,9 +20,9 @@
 
     Flows that have ended, or that may be open at another endpoint, are only removed. A
     first packet that this endpoint did not answer, or answered late, is offered to
-    another one. A reset from here would break that flow, because it has the same
-    addresses and ports. If no endpoint holds such a flow, a balancer resets it when it
-    finds no owner for the flow's next packet.
+    another one. A reset from here would break the flow that the other endpoint has
+    accepted, because it has the same addresses and ports. If no endpoint holds such a
+    flow, a balancer resets it when it finds no owner for the flow's next packet.
 
     Args:
         agent: The agent.
@@ -54,7 +54,10 @@
     agent.flows.remove(flow)
     agent.request_queue.remove(flow)
     agent.counts["dead_flows"] += 1
-    log.info("flow dead, reset", extra={"flow": flow_text(flow), "reason": reason})
+    log.info(
+        "flow reset, no endpoint holds it",
+        extra={"flow": flow_text(flow), "reason": reason},
+    )
     packet = agent.codec.reset(flow, tracked.acknowledged)
     agent.packet_socket.send(packet, (client_address(flow), agent.client_port))
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivery.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/delivery.py
@@ -11,7 +11,7 @@
     is_retransmission,
 )
 from cornelspan_passthrough.health import DOWN
-from cornelspan_passthrough.outlier_detection import fail_lost_requests
+from cornelspan_passthrough.outlier_detection import record_lost_requests
 from cornelspan_passthrough.packet_headers import (
     RST,
     PacketHeader,
@@ -72,7 +72,7 @@
         if agent.request_queue.contains(header.flow):
             agent.request_queue.add_packet(header.flow, packet, header.sequence)
             return
-        fail_lost_requests(agent, now)
+        record_lost_requests(agent, now)
         if agent.flows.running >= request_limit(agent):
             is_first = tracked.sent_up_to is None
             deadlines = request_deadlines(tracked.urgency, now, is_first=is_first)
@@ -114,7 +114,7 @@
 
     Requests that count as lost are dropped first, which frees their slots.
     """
-    fail_lost_requests(agent, now)
+    record_lost_requests(agent, now)
     if not agent.request_queue:
         return
     while agent.flows.running < request_limit(agent):
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/endpoint.py
@@ -9,8 +9,9 @@
 # was never sent.
 MISSING_REPORT_INTERVALS = 1.8
 # An ended incarnation is accepted again after this many reports, provided that its
-# successor has stopped reporting. The count alone does not prove that it is running,
-# because the network may have delayed several of its reports.
+# successor's report is overdue or a leave call has put the successor in doubt. The
+# count alone does not prove that the incarnation is running, because the network may
+# have delayed several of its reports.
 RESUME_REPORTS = 2
 # An agent that has just started checks the endpoint's port if no report arrives within
 # this part of an interval. Without the check, an agent whose endpoint is gone would
@@ -133,7 +134,8 @@
         be reset. Start times decide where they are known, because an agent that
         restarted between the two reports has not seen the earlier incarnation end. An
         incarnation that seemed to have ended is accepted again if it keeps reporting
-        while its successor does not.
+        while its successor's report is overdue or a leave call has put the successor in
+        doubt.
         """
         seems_ended = report.incarnation != self.incarnation and self._has_ended(
             report.incarnation
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/first_packets.py
@@ -88,7 +88,8 @@
 ) -> None:
     """Send a first packet to the best endpoint, or hold or reject it.
 
-    It is held until ``_may_place_now``. It is rejected if no endpoint is left to try.
+    It is held while ``_may_place_now`` is false, and rejected if no endpoint is left
+    to try.
     """
     if not _may_place_now(balancer, route, now):
         opening.held_packet = data
@@ -101,9 +102,13 @@
         # answered it, is better than none.
         service, agent = _choose_agent(balancer, route, flow, opening.rejected_by, now)
     if not agent:
-        refusals = len(opening.rejected_by)
-        reason = "rejected by all endpoints" if refusals else "no endpoint"
-        _reject(balancer, flow, reason, route=route.name, refusals=refusals)
+        rejections = len(opening.rejected_by)
+        reason = (
+            "no endpoint left after rejections"
+            if rejections
+            else "no endpoint available"
+        )
+        _reject(balancer, flow, reason, route=route.name, refusals=rejections)
         return
     opening.owner = agent
     opening.service = service
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/flows.py
@@ -66,8 +66,9 @@
 
     ``request_started_at`` is when the current request was sent, ``NO_REQUEST`` for
     none. ``sent_up_to`` is the sequence number after the last byte sent to the
-    endpoint, None before any data. ``is_learned`` is set if the flow opened before this
-    process started, until the first answer to a request that this process has sent.
+    endpoint, None before any data. ``is_learned`` is set if the flow was added
+    because the endpoint sent a packet of it, usually after a restart of the agent. It
+    is cleared by the first answer to a request that this process has sent.
     Times are of the event loop's clock, in seconds.
     """
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/following.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/following.py
@@ -37,7 +37,7 @@
 # How often a version named by a peer is compared with the one in force. A newer one is
 # usually on its way here too, so the store is read only if the watch has not delivered
 # it one interval later.
-CATCH_UP_SECONDS = 0.15
+CATCH_UP_INTERVAL_SECONDS = 0.15
 PRUNE_INTERVAL_SECONDS = 5.0
 
 FetchSnapshot = Callable[[Balancer, str], Awaitable[None]]
@@ -155,16 +155,17 @@
 ) -> None:
     """Catch up with a newer configuration that a peer's ping named, until cancelled.
 
-    The store is read first, then the peer's snapshot is fetched. This balancer's own
-    watch may hang on a silent connection, or the store may reject only this VM's calls.
-    This balancer would then place flows by an old configuration while its peers use the
-    new one.
+    The store is read if a version newer than the one in force is still missing one
+    interval later. If that doesn't help, the peer's snapshot is fetched. This
+    balancer's own watch may hang on a silent connection, or the store may reject only
+    this VM's calls. This balancer would then place flows by an old configuration while
+    its peers use the new one.
     """
     while True:
-        await asyncio.sleep(CATCH_UP_SECONDS)
+        await asyncio.sleep(CATCH_UP_INTERVAL_SECONDS)
         if not _is_behind(balancer):
             continue
-        await asyncio.sleep(CATCH_UP_SECONDS)
+        await asyncio.sleep(CATCH_UP_INTERVAL_SECONDS)
         if not _is_behind(balancer):
             continue
         match await store.read_configuration():
@@ -174,7 +175,7 @@
             case Err(error):
                 log.info("configuration read failed", extra={"reason": str(error)})
         if _is_behind(balancer):
-            await fetch_and_apply(balancer, balancer.newest_peer)
+            await fetch_and_apply(balancer, balancer.newest_version_peer)
 
 
 def _is_behind(balancer: Balancer) -> bool:
@@ -193,4 +194,4 @@
             if removed.is_ok():
                 balancer.forget_member(address, now())
             extra = {"address": address, "done": removed.is_ok()}
-            log.info("tried to remove dead member", extra=extra)
+            log.info("removal of dead member attempted", extra=extra)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/members.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/members.py
@@ -84,7 +84,9 @@
         self.revision = max(self.revision, revision)
 
     def add_announced(self, member: Member) -> bool:
-        """Record a member that announced itself; return whether that changes anything.
+        """Record a member not read from the store; return whether anything changed.
+
+        It has announced itself, sent a ping or pong, or is known to a peer.
 
         The new owner of an address that another service used before is known this way
         before the store lists it.
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/outlier_detection.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/outlier_detection.py
@@ -31,9 +31,9 @@
 ) -> None:
     """Record the result that a packet of the endpoint shows; call it before the update.
 
-    The flow table must still have the request, which the packet may end. Flows that
-    opened before this process started are ignored: the state of their requests is
-    unknown, and their clients may be gone.
+    The flow table must still have the request, which the packet may end. Learned
+    flows are ignored: they usually opened before this process started, so the state of
+    their requests is unknown, and their clients may be gone.
     """
     if tracked.request_started_at == NO_REQUEST or tracked.is_learned:
         return
@@ -43,7 +43,7 @@
         record_outcomes(agent, 1, now, succeeded=False)
 
 
-def fail_lost_requests(agent: "Agent", now: float) -> None:
+def record_lost_requests(agent: "Agent", now: float) -> None:
     """Drop requests that count as lost, freeing slots, and record them as failures."""
     lost = agent.flows.drop_lost_requests(now)
     if lost:
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/owner_search.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/owner_search.py
@@ -177,6 +177,6 @@
         "agents": len(search.queried),
         "silent": len(search.queried - search.denied_by),
     }
-    log.info("flow dead, reset", extra=extra)
+    log.info("flow reset, no endpoint holds it", extra=extra)
     balancer.counts["dead_flows"] += 1
     balancer.reset(flow, search.acknowledged)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/pruning.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/pruning.py
@@ -51,4 +51,5 @@
     weighted_names = [
         (name, name_seed(name), 1.0) for name in {own_address, *responsive_balancers}
     ]
+    # The dead member's address is hashed in place of a flow.
     return rank(flow_key(dead_member), weighted_names)[0] == own_address
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/request_queue.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/request_queue.py
@@ -97,7 +97,7 @@
     def push(
         self, flow: int, request: QueuedRequest, packet: bytes, sequence: int
     ) -> None:
-        """Queue a request with its first packet.
+        """Queue a request with the packet that starts it.
 
         If the queue is full, the request that was queued first is dropped.
         """
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_agent.py
@@ -31,7 +31,7 @@
 from cornelspan_passthrough.store import Backoff, OpenStore, PlatformStore
 
 SWEEP_INTERVAL_SECONDS = 2.0
-# Interval at which queued requests are checked when no packet releases them.
+# Interval at which queued requests are forwarded when no packet arrives.
 RELEASE_INTERVAL_SECONDS = 0.05
 # Interval of connection checks to the endpoint while a report is missing.
 CONNECTION_CHECK_SECONDS = 0.1
@@ -91,7 +91,7 @@
         agent: The agent. Its sockets are open and may have served packets already.
         open_store: Returns the platform's store.
         decode_call: Decodes an endpoint's request, None if its path is unknown.
-        orders: Signals to stop and to reload settings.
+        signals: Signals to stop and to reload settings.
     """
     settings = agent.settings
     with ExitStack() as serving:
@@ -99,7 +99,7 @@
         async with task_group() as tasks:
             member = _member(settings)
             tasks.start(_sweep_periodically(agent), name="sweep")
-            tasks.start(_release_periodically(agent), name="release")
+            tasks.start(_release_requests_periodically(agent), name="request release")
             tasks.start(
                 send_hellos(
                     settings,
@@ -107,11 +107,11 @@
                     agent.daemon_socket,
                     lambda: agent.last_ping_at > 0,
                 ),
-                name="greeting",
+                name="hellos",
             )
             _serve_http(agent, decode_call, serving)
             store = open_store(settings.store)
-            tasks.start(_stay_registered(agent, member, store), name="listing")
+            tasks.start(_stay_registered(agent, member, store), name="registration")
             tasks.start(_watch_endpoint(agent), name="endpoint")
             tasks.start(
                 follow_settings(signals, settings, agent.take_settings), name="settings"
@@ -255,17 +255,17 @@
         return ConnectionCheck.REFUSED
     except (OSError, TimeoutError) as error:
         log.info(
-            "no answer to connection check of endpoint", extra={"reason": repr(error)}
+            "connection check of endpoint inconclusive", extra={"reason": repr(error)}
         )
         return ConnectionCheck.INCONCLUSIVE
     writer.close()
     return ConnectionCheck.ACCEPTED
 
 
-async def _release_periodically(agent: Agent) -> None:
-    """Check the request queue regularly.
+async def _release_requests_periodically(agent: Agent) -> None:
+    """Forward queued requests regularly, also when no packet arrives.
 
-    Running requests may count as lost, which frees their slots, without any packet.
+    A running request that counts as lost frees its slot although no packet arrives.
     """
     now = asyncio.get_running_loop().time
     while True:
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/running_balancer.py
@@ -86,7 +86,9 @@
             )
             tasks.start(follow_members(balancer, store, backoffs[1]), name="members")
             member = Member(settings.address, BALANCER, settings.datacentre)
-            tasks.start(register_member(store, member, backoffs[2]), name="listing")
+            tasks.start(
+                register_member(store, member, backoffs[2]), name="registration"
+            )
             tasks.start(
                 catch_up_with_peers(balancer, store, fetch_and_apply_snapshot),
                 name="catching up",
@@ -99,7 +101,7 @@
                     balancer.daemon_socket,
                     lambda: balancer.members.revision > 0,
                 ),
-                name="greeting",
+                name="hellos",
             )
             tasks.start(prune(balancer, store), name="pruning")
             tasks.start(
@@ -150,14 +152,18 @@
 
 
 async def _ping_members(balancer: Balancer) -> None:
-    """Ping all members once per interval, and agents that are starting more often."""
+    """Ping all members once per interval, and new agents more often.
+
+    Those have not answered this process yet. They may just be starting, and held first
+    packets wait for them.
+    """
     suspension_detector = SuspensionDetector()
     loop_time = asyncio.get_running_loop().time
     while True:
-        policy = balancer.settings.pulse
+        health_check = balancer.settings.pulse
         addresses = _other_members(balancer)
-        min_interval = policy.interval_milliseconds / 1000
-        interval = max(min_interval, len(addresses) / policy.pings_per_second)
+        min_interval = health_check.interval_milliseconds / 1000
+        interval = max(min_interval, len(addresses) / health_check.pings_per_second)
         started_at = time.monotonic()
         if suspension_detector.has_been_suspended():
             log.warning("this VM was suspended")
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/snapshots.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/snapshots.py
@@ -37,9 +37,9 @@
 
 
 def apply_snapshot(balancer: Balancer, body: bytes, peer: str, now: float) -> None:
-    """Apply a peer's configuration if it is newer, and its members if none are known.
+    """Apply a peer's configuration if it is newer, and add its members.
 
-    The members are applied only while this balancer has not read them from the store.
+    The members are added only while this balancer has not read them from the store.
     """
     try:
         snapshot = msgspec.msgpack.decode(body, type=Snapshot)
@@ -50,6 +50,8 @@
     if balancer.members.revision:
         return
     balancer.members.is_complete = balancer.members.is_complete or snapshot.is_whole
-    changes = [balancer.members.add_announced(member) for member in snapshot.members]
-    if any(changes):
+    has_changed = [
+        balancer.members.add_announced(member) for member in snapshot.members
+    ]
+    if any(has_changed):
         recompute_and_log_members(balancer, now)
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/store.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/store.py
@@ -167,7 +167,8 @@
                 is_failing = False
             case Err(HistoryExpired()):
                 log.info(
-                    "store history expired, reading all", extra={"subject": subject}
+                    "store no longer has the changes, reading full state",
+                    extra={"subject": subject},
                 )
                 revision = 0
             case Err(error):
