--- a/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
+++ b/packages/cornelspan-agent/src/cornelspan_agent/daemon.py
@@ -114,7 +114,7 @@
             peer.send(packet)
 
     async def serve_fabric(self, peer: Peer) -> None:
-        """Keep the stream to one fabric, and count all that it sends as refused."""
+        """Ignore what one fabric sends, counted in ``peer.refused``."""
         async for batch in batches(peer):
             peer.refused += len(batch)
 
@@ -138,7 +138,7 @@
     def _receive(self, peer: Peer, message: Message) -> None:
         """Process a message that is not about flows."""
         if isinstance(message, Gone):
-            # Another agent has left. Only a message of its own counts here.
+            # An agent sends this when it leaves; one about another agent is ignored.
             if message.name == peer.name:
                 self.members.remove(message.name, message.incarnation)
             return
@@ -154,8 +154,8 @@
         waiting = http_load.waiting + self.router.count_flows_without_data()
         return dataclasses.replace(http_load, waiting=waiting)
 
-    def renew(self, incarnation: int) -> None:
-        """Continue under a new incarnation, as others detected this one as failed."""
+    def change_incarnation(self, incarnation: int) -> None:
+        """Continue under a new incarnation, after others removed the present one."""
         self.router.change_incarnation(incarnation)
         self.hello = msgspec.structs.replace(self.hello, incarnation=incarnation)
         for holder in (self.fabrics, self.agents, self.server):
@@ -179,10 +179,10 @@
         deadline = time.monotonic() + self.profile.drain_seconds
         await self._wait_for_flows(deadline)
         await self.gateway.drain(max(0.0, deadline - time.monotonic()))
-        await self._hand_over_flows()
+        await self._hand_over_directory()
         report_last(self.gateway.objective_counts, self.settings, self.control.plane)
         self.control.leave()
-        log.info("agent stopped", extra={"flows": len(self.flows.owned)})
+        log.info("agent left", extra={"flows": len(self.flows.owned)})
 
     async def _wait_for_flows(self, deadline: float) -> None:
         """Wait until the flows have ended, or no fabric is connected any more.
@@ -198,8 +198,8 @@
                 return
             await asyncio.sleep(LEAVE_POLL_SECONDS)
 
-    async def _hand_over_flows(self) -> None:
-        """Send the records of other agents' flows to their next homes, then ``Gone``.
+    async def _hand_over_directory(self) -> None:
+        """Send the directory of flow owners to the flows' next homes, then ``Gone``.
 
         This is the last step, when no packets of flows owned here are in flight. After
         ``Gone`` the others don't have to wait for failure detection.
@@ -250,7 +250,7 @@
     *,
     tls: Tls = PLAIN,
 ) -> AsyncIterator[Agent]:
-    """Run an agent until the context ends.
+    """Run an agent until the context ends, without draining: call ``leave`` before.
 
     Args:
         settings: The agent's settings.
@@ -280,7 +280,7 @@
                 members,
                 hello=running_agent.hello,
                 announcement=running_agent.announcement,
-                on_new_incarnation=running_agent.renew,
+                on_new_incarnation=running_agent.change_incarnation,
                 on_members=running_agent.connect_peers,
                 tls=tls.client,
             ) as running_agent.control,
@@ -295,11 +295,13 @@
             for address in settings.fabrics:
                 running_agent.fabrics.want(str(address), address)
             tasks.start(
-                running_agent.flows.sweep(lambda: running_agent.profile.idle_seconds),
-                name="sweep",
+                running_agent.flows.reset_idle_flows(
+                    lambda: running_agent.profile.idle_seconds
+                ),
+                name="reset idle flows",
             )
             members.record(running_agent.announcement())
-            tasks.start(running_agent.router.run(), name="watch peers")
+            tasks.start(running_agent.router.run(), name="update group")
             counts = running_agent.gateway.objective_counts
             reporting = report_counts(counts, settings, running_agent.control.plane)
             tasks.start(reporting, name="report counts")
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/daemon.py
@@ -212,7 +212,7 @@
         ):
             state.control.plane.collect_counts = state.levels.add_counts
             tasks.start(state.levels.run(state.control.plane), name="service levels")
-            tasks.start(state.join(), name="join the fabrics")
+            tasks.start(state.join(), name="connect to fabrics")
             tasks.start(reload_tls(tls), name="reload TLS files")
             log.info("balancer started", extra={"balancer": settings.name})
             yield state
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/forwarding.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/forwarding.py
@@ -26,7 +26,7 @@
 
     address: str
     peer: Peer
-    encoded: msgspec.Raw
+    encoded_candidates: msgspec.Raw
 
 
 @dataclass
@@ -34,7 +34,7 @@
     """Counts of packets by outcome, and of learned owners.
 
     ``no_endpoint`` counts packets of a service without known agents, ``no_stream``
-    those of a service whose agents are all disconnected.
+    those of a flow whose candidates are all disconnected.
     """
 
     forwarded: int = 0
@@ -71,7 +71,7 @@
         self.counts = ForwardingCounts()
 
     def forward(self, packet: Packet) -> None:
-        """Forward a packet; count and drop it if it has no service or no agent."""
+        """Forward a packet; count and drop it if it has no route."""
         if self.routes_version != self._current_version():
             self._clear_routes()
         route = self.routes.get(packet.flow)
@@ -79,7 +79,7 @@
             route = self._find_route(packet)
             if route is None:
                 return
-        route.peer.send_packet(Routed(packet, route.encoded, 0, self.name))
+        route.peer.send_packet(Routed(packet, route.encoded_candidates, 0, self.name))
         self.counts.forwarded += 1
 
     def learn(self, hint: Hint) -> None:
@@ -105,7 +105,7 @@
 
         Returns:
             The route; None, with the packet counted as dropped, if no service has its
-            address or no agent of the service is connected.
+            address or no candidate of the flow is connected.
         """
         service = self.configuration.by_address.get(packet.address)
         if service is None:
--- a/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
@@ -41,8 +41,10 @@
 class ServiceLevels:
     """The counts that agents reported to this relay, by data centre, and its alerts.
 
-    Alerts depend on the relay's own counts only. So they work without the store and
-    without other data centres, within ``CHECK_SECONDS`` of the first complete minute.
+    Alerts depend only on what this relay has in memory: the counts reported to it, and
+    the summaries as it last wrote them to the store. So they work while the store and
+    other data centres can't be reached, within ``CHECK_SECONDS`` of the first complete
+    minute. ``burns`` has the burn rates, budget and alerts of each service.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -135,7 +137,7 @@
             case Ok(_):
                 return
             case Err(error):
-                log.info("request counts not stored", extra={"why": str(error)})
+                log.info("could not store request counts", extra={"why": str(error)})
 
     def _objective(self, service: str) -> Objective:
         profile = self.configuration.profile_of(service)
--- a/packages/cornelspan-control/src/cornelspan_control/burn.py
+++ b/packages/cornelspan-control/src/cornelspan_control/burn.py
@@ -16,9 +16,9 @@
 
 HOUR_MINUTES = 60
 DAY_MINUTES = 1440
-MAX_MINUTE_BUCKETS = 65
-MAX_HOUR_BUCKETS = 75
-MAX_DAY_BUCKETS = 91
+MAX_AGE_MINUTES = 65
+MAX_AGE_HOURS = 75
+MAX_AGE_DAYS = 91
 MIN_ALERT_REQUESTS = 20
 
 
@@ -106,9 +106,9 @@
     hour = minute // HOUR_MINUTES
     day = minute // DAY_MINUTES
     return Series(
-        _add_counts(series.minutes, minute, good, bad, MAX_MINUTE_BUCKETS),
-        _add_counts(series.hours, hour, good, bad, MAX_HOUR_BUCKETS),
-        _add_counts(series.days, day, good, bad, MAX_DAY_BUCKETS),
+        _add_and_drop_old(series.minutes, minute, good, bad, MAX_AGE_MINUTES),
+        _add_and_drop_old(series.hours, hour, good, bad, MAX_AGE_HOURS),
+        _add_and_drop_old(series.days, day, good, bad, MAX_AGE_DAYS),
     )
 
 
@@ -191,12 +191,22 @@
     return objective.window_days * budget_left / rate if rate > 0 else math.inf
 
 
-def _add_counts(
-    buckets: tuple[Bucket, ...], number: int, good: int, bad: int, max_buckets: int
+def _add_and_drop_old(
+    buckets: tuple[Bucket, ...], number: int, good: int, bad: int, max_age: int
 ) -> tuple[Bucket, ...]:
+    """Add counts to a bucket and drop buckets that are too old.
+
+    Args:
+        buckets: Buckets of one resolution.
+        number: Number of the bucket that the counts belong to.
+        good: Good requests to add.
+        bad: Bad requests to add.
+        max_age: Buckets whose number is at least this much below the newest are
+            dropped.
+    """
     merged = _merge_buckets(buckets, (Bucket(number, good, bad),))
     newest = merged[-1].number
-    return tuple(bucket for bucket in merged if bucket.number > newest - max_buckets)
+    return tuple(bucket for bucket in merged if bucket.number > newest - max_age)
 
 
 def _merge_buckets(
--- a/packages/cornelspan-control/src/cornelspan_control/control_plane.py
+++ b/packages/cornelspan-control/src/cornelspan_control/control_plane.py
@@ -111,7 +111,8 @@
 def _start(control: Control) -> None:
     """Start the background tasks.
 
-    The last four are the work of relays, which only balancers can become.
+    Only balancers watch the store, detect failures, write rosters and send heartbeats,
+    since only balancers can become relays.
     """
     plane, tasks = control.plane, control.plane.tasks
     relay_links = control.relay_links
@@ -123,6 +124,6 @@
     tasks.start(read_rosters(plane), name="read rosters")
     if plane.announcement().role == "balancer":
         tasks.start(watch_store(plane), name="watch store")
-        tasks.start(control.detector.run(), name="judge")
+        tasks.start(control.detector.run(), name="detect failures")
         tasks.start(control.roster_writer.run(), name="write rosters")
         tasks.start(send_heartbeats(plane), name="send heartbeats")
--- a/packages/cornelspan-control/src/cornelspan_control/dispatch.py
+++ b/packages/cornelspan-control/src/cornelspan_control/dispatch.py
@@ -27,8 +27,9 @@
 ) -> None:
     """Handle one message.
 
-    A message that this daemon doesn't handle is counted as refused, for example
-    service-level counts on a daemon that doesn't collect them.
+    A message that this daemon doesn't handle is ignored and counted in
+    ``peer.refused``, for example service-level counts on a daemon that doesn't collect
+    them.
     """
     match message:
         case Heartbeat():
@@ -46,7 +47,9 @@
         case RevisionRequest():
             _send_newer(plane, peer, message.revision)
         case Suspect():
-            plane.tasks.start(handle_suspect(plane, peer, message), name="witness")
+            plane.tasks.start(
+                handle_suspect(plane, peer, message), name="answer suspect"
+            )
         case Verdict():
             detector.receive_verdict(message)
         case ServiceCounts() if plane.collect_counts is not None:
--- a/packages/cornelspan-control/src/cornelspan_control/failure_detection.py
+++ b/packages/cornelspan-control/src/cornelspan_control/failure_detection.py
@@ -21,8 +21,8 @@
 from cornelspan_control.plane import Plane
 
 MAX_PARALLEL_CHECKS = 16
-# Only balancers are relays.
-RELAY_ROLE = "balancer"
+# Role of the daemons that can become relays.
+BALANCER_ROLE = "balancer"
 
 log = get_log(__name__)
 
@@ -132,25 +132,28 @@
     async def _check(self, member: Announce) -> None:
         async with self.check_slots:
             reached = await probe(self.plane, member)
-            verdict = False if reached else await self._ask_other_balancer(member)
+            # A member that answered needs no second verdict; False is not used then.
+            confirmed_alive = (
+                False if reached else await self._ask_other_balancer(member)
+            )
         self.stream_ended.pop(member.name, None)
-        if reached or verdict:
+        if reached or confirmed_alive:
             self.found_alive += 1
             self.plane.last_heard[member.name] = time.monotonic()
             return
         # Without a verdict the member stays and is checked again.
-        if verdict is None:
+        if confirmed_alive is None:
             self.unconfirmed += 1
             return
         self.removals += 1
         log.warning(
             "member does not answer, removing it", extra={"member": member.name}
         )
-        if member.role == RELAY_ROLE:
-            # The dead balancer may have been primary under the same epoch, so briefly
-            # that ``run`` did not notice: two relays that start together both begin
-            # epoch 1. If it was only paused, its removals under that epoch would be
-            # accepted when it resumes, so begin a new one.
+        if member.role == BALANCER_ROLE:
+            # The removed balancer may have been primary under the epoch that this one
+            # holds: two relays that start together both begin epoch 1. If it was only
+            # paused, members would accept its removals under that epoch when it
+            # resumes. After a new epoch has begun, they ignore them.
             self._begin_epoch(member.datacentre)
         gone = Gone(member.name, member.incarnation)
         self.plane.remove(gone, member.datacentre)
--- a/packages/cornelspan-control/src/cornelspan_control/plane.py
+++ b/packages/cornelspan-control/src/cornelspan_control/plane.py
@@ -63,15 +63,15 @@
     Attributes:
         on_new_incarnation: Called with a new incarnation number when other processes
             have removed the current one while this daemon is alive.
-        collect_counts: On relays, takes an agent's service-level counts and the
+        collect_counts: On balancers, takes an agent's service-level counts and the
             agent's data centre; returns up to which minute they are stored.
         on_counts_stored: On agents, called with the minute up to which the relay has
             stored the service-level counts.
         subscribers: Subscriptions by stream, not by name. A process that connects
             again while its first stream is open has two; closing one must not remove
             the subscription of the other.
-        last_heard: Monotonic time of the last message from each member of this data
-            centre.
+        last_heard: Monotonic time of the last message from each member; for one that
+            has sent nothing to this daemon, when it was first announced here.
         last_heartbeats: The last heartbeat of each member.
         silent_relays: Relays that have sent nothing to this daemon for too long or
             can't be connected, with the monotonic time at which that was found.
@@ -154,9 +154,9 @@
     def datacentres_as_primary(self) -> list[str]:
         """Return the data centres whose primary relay this daemon is.
 
-        The primary relay runs failure detection and writes the list of members to the
-        store. Only balancers are relays. A data centre without balancers has its relays
-        in other data centres.
+        The primary relay runs failure detection and writes the roster to the store.
+        Only balancers are relays. A data centre without balancers has its relays in
+        other data centres.
         """
         if self.announcement().role != "balancer":
             return []
--- a/packages/cornelspan-control/src/cornelspan_control/relay_links.py
+++ b/packages/cornelspan-control/src/cornelspan_control/relay_links.py
@@ -200,7 +200,9 @@
                         await self._exchange(peer)
                         return
                     case Err(error):
-                        log.debug("seed not reachable", extra={"why": str(error)})
+                        log.debug(
+                            "could not open stream to seed", extra={"why": str(error)}
+                        )
 
     async def _exchange(self, peer: Peer) -> None:
         plane = self.plane
--- a/packages/cornelspan-control/src/cornelspan_control/roster.py
+++ b/packages/cornelspan-control/src/cornelspan_control/roster.py
@@ -96,10 +96,11 @@
                 )
 
     async def _read_after_conflict(self, datacentre: str) -> None:
-        """Read a roster and apply its members, so that the next write can succeed.
+        """Read a roster's version and members, which the next write is based on.
 
-        It was written by another relay, or by this one in a write whose response was
-        lost.
+        With the version read, the next conditional write can succeed; with the members
+        applied, it doesn't remove them from the roster. The roster was written by
+        another relay, or by this one in a write whose response was lost.
         """
         match await self.plane.store.get(ROSTER_PREFIX + datacentre):
             case Ok(found):
--- a/packages/cornelspan-control/src/cornelspan_control/store.py
+++ b/packages/cornelspan-control/src/cornelspan_control/store.py
@@ -63,11 +63,13 @@
     """Client of the store, limited to one daemon's rate of calls.
 
     Attributes:
-        random: Source of the jitter of this daemon.
+        random: Source of the jitter, shared by the call budget and the tasks of the
+            control plane, so that one seed determines all of it.
         reads: Attempted reads, lists and watches, including those not sent because the
             rate was exceeded.
         writes: Attempted writes and deletes, counted in the same way.
-        lost_answers: Calls that were sent but got no response.
+        lost_responses: Calls that ended without a response, for example by a timeout.
+            The store may have received them.
         received_bytes: Size of the bodies of successful reads.
 
     Args:
@@ -96,13 +98,13 @@
         )
         self.reads = 0
         self.writes = 0
-        self.lost_answers = 0
+        self.lost_responses = 0
         self.received_bytes = 0
 
     @property
     def failures(self) -> int:
         """Calls that did not reach the store or got no response."""
-        return self.lost_answers + self.caller.unreached
+        return self.lost_responses + self.caller.unreached
 
     def close(self) -> None:
         """Cancel all running calls."""
@@ -167,7 +169,7 @@
             case Err(error) if isinstance(error, CallRefused | StoreUnavailable):
                 return Err(error)
             case Err(failure):
-                self.lost_answers += 1
+                self.lost_responses += 1
                 return Err(StoreUnavailable(reason_of(failure)))
             case Ok(response):
                 pass
@@ -176,7 +178,7 @@
         if response.code == 200:
             self.received_bytes += len(response.body)
             return Ok(response)
-        return Err(_refusal(response))
+        return Err(_call_refused(response))
 
     async def _write(
         self, method: str, name: str, value: bytes | None, expected: int | None
@@ -191,7 +193,7 @@
             case Err(error) if isinstance(error, CallRefused | StoreUnavailable):
                 return Err(error)
             case Err(failure):
-                self.lost_answers += 1
+                self.lost_responses += 1
                 return Err(OutcomeUnknown(name, reason_of(failure)))
             case Ok(response):
                 return _write_result(response, name)
@@ -222,21 +224,22 @@
             # again after a conflict.
             return Err(VersionConflict(name, _reply_version(response) or NO_VERSION))
         case 413 | 429:
-            return Err(_refusal(response))
+            return Err(_call_refused(response))
         case code:
             # The error may come from a gateway, and the store behind it may have
             # executed the write.
-            return Err(OutcomeUnknown(name, f"the store answered {code}"))
+            return Err(OutcomeUnknown(name, f"the response status was {code}"))
 
 
-def _refusal(response: HTTPResponse) -> CallRefused:
-    """Return the error for a refused call.
+def _call_refused(response: HTTPResponse) -> CallRefused:
+    """Return the error for a call that got an error status and changed nothing.
 
+    For a write these are 413 and 429, for a read all but 200 and 404.
     ``retry_seconds`` is 0 unless the response gives a number of seconds to wait.
     """
     wait = response.headers.get("Retry-After", "0")
     seconds = float(wait) if wait.isdecimal() else 0.0
-    return CallRefused(f"the store answered {response.code}", seconds)
+    return CallRefused(f"the response status was {response.code}", seconds)
 
 
 def _decode(read: Result[HTTPResponse, ReadError], kind: type) -> Result:
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/directory.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/directory.py
@@ -48,10 +48,12 @@
 class Directory:
     """Owners and homes of flows, and the flows that ended recently.
 
-    ``owners`` has the flows that this agent placed or received an ``Owner`` message
-    for. ``homes`` has other agents that claimed a flow here; an OPEN is forwarded to
-    them. ``ended`` keeps a flow for ``ENDED_FLOW_SECONDS`` after its end, so that a
-    late packet is neither forwarded to all candidates nor opens the flow again.
+    ``owners`` has the owners of flows that this agent placed, or that an ``Owner``
+    message or the answer to a claim named. ``homes`` has other agents that act as home
+    of a flow: they claimed it or handed it off here, or kept their own claim when this
+    agent claimed it. An OPEN is forwarded to them. ``ended`` keeps a flow for
+    ``ENDED_FLOW_SECONDS`` after its end, so that a late packet is neither forwarded to
+    all candidates nor opens the flow again.
     """
 
     def __init__(self, *, idle_seconds: float, limit: int = LIMIT) -> None:
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/flows.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/flows.py
@@ -1,4 +1,7 @@
-"""The flows that this agent owns, from OPEN until their channels are removed."""
+"""The flows that this agent owns, from OPEN until their channels are removed.
+
+A channel is this agent's end of one flow.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -10,7 +13,7 @@
 from cornelspan_common.tasks import Tasks
 
 LINGER_SECONDS = 3.0
-SWEEP_SECONDS = 5.0
+IDLE_CHECK_SECONDS = 5.0
 
 log = get_log(__name__)
 Serve = Callable[[Channel], Awaitable[None]]
@@ -18,7 +21,7 @@
 
 @dataclass
 class FlowCounts:
-    """Counts of flows by outcome."""
+    """Counts of flows by outcome; ``reset`` includes the ``idle`` ones."""
 
     opened: int = 0
     finished: int = 0
@@ -31,9 +34,10 @@
     """Channels of the owned flows, and of flows that ended recently.
 
     ``agent_name`` is sent to the fabric when a flow is accepted; ``transmit`` sends a
-    packet to its fabric. ``serve`` connects one flow to the backend server and returns
-    when the flow is over. ``on_opened`` is called with the channel of each new flow,
-    ``on_removed`` with the id of an ended flow when its channel is removed.
+    packet to the fabric that it names. ``serve`` connects one flow to the backend
+    server and returns when the flow is over. ``on_opened`` is called with the channel
+    of each new flow, ``on_removed`` with the id of an ended flow when its channel is
+    removed.
     """
 
     def __init__(
@@ -91,10 +95,10 @@
         self.ended.pop(channel.flow, None)
         self.on_removed(channel.flow)
 
-    async def sweep(self, idle_seconds: Callable[[], float]) -> None:
+    async def reset_idle_flows(self, idle_seconds: Callable[[], float]) -> None:
         """Reset flows that have received no data for ``idle_seconds()``."""
         while True:
-            await asyncio.sleep(SWEEP_SECONDS)
+            await asyncio.sleep(IDLE_CHECK_SECONDS)
             oldest = self.loop.time() - idle_seconds()
             for channel in list(self.owned.values()):
                 if channel.last_data < oldest:
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/handlers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/handlers.py
@@ -60,6 +60,7 @@
     """
     owner = AgentId(message.owner, message.incarnation)
     if not message.owner:
+        # ``ended`` then has an empty name: the flow ended normally.
         state.directory.end_flow(message.flow, owner, state.clock())
         return
     if state.group.is_gone(message.owner, message.incarnation):
@@ -72,7 +73,9 @@
 
 
 def remove_incarnation(state: Ownership, name: str, incarnation: int) -> None:
-    """Remove an incarnation of a peer, and record the flows that it owned as ended.
+    """Remove a peer up to an incarnation, and record the flows that it owned as ended.
+
+    Its load is removed too, whichever incarnation sent it.
 
     A late retry of such a flow's OPEN is then rejected. If the flow were placed again,
     the new owner could execute a request that the old one has executed.
@@ -86,12 +89,13 @@
 def _is_from_peer(state: Ownership, message: Claim | Handoff) -> bool:
     """Whether a message is from an agent of this service that isn't known to be gone.
 
-    A late message of a dead home is not answered, because the next home may have placed
-    the flow already. Once the next home's claim, which is recorded here, has expired,
-    accepting a late hand-off would create a second owner.
+    The sender is ``message.home``. A late message of a dead home is not answered,
+    because the next home may have placed the flow already. While the next home's claim
+    is recorded here, it blocks a late hand-off too; but it expires, and accepting the
+    hand-off after that would create a second owner.
     """
-    same = message.service == state.service
-    return same and not state.group.is_gone(message.home, message.incarnation)
+    same_service = message.service == state.service
+    return same_service and not state.group.is_gone(message.home, message.incarnation)
 
 
 def _answer_or_record_claim(
@@ -119,8 +123,9 @@
 
     It does so while it places the flow, while it handles an OPEN of the flow and takes
     precedence over the sender, and after the flow's end, so that the sender forwards
-    the OPEN here. If not, the caller records the sender as home; an OPEN of the flow
-    that is handled here then ends by forwarding it to the sender.
+    the OPEN here. If not, ``_answer_or_record_claim`` records the sender as home,
+    unless another home is recorded; an OPEN of the flow that is handled here then ends
+    by forwarding it to the sender.
     """
     now = state.clock()
     if state.unanswered_handoffs.get(flow, now) or state.directory.ended.get(flow, now):
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/interfaces.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/interfaces.py
@@ -38,8 +38,8 @@
 class RetryLater:
     """An OPEN gets no answer now, so the fabric sends it again.
 
-    Any other packet is answered with a reset and the reason, since only a flow that has
-    ended has this result for it.
+    For any other packet, and at a retired agent for an OPEN too, only a flow that has
+    ended has this result, and the packet is answered with a reset and the reason.
     """
 
     reason: str
@@ -81,7 +81,7 @@
     """The flows that this agent owns, and its load."""
 
     def owns(self, flow: int) -> bool:
-        """Whether a flow is owned here."""
+        """Whether a flow is owned here, or ended here recently."""
 
     def open(self, packet: Packet) -> None:
         """Become the owner of a flow and accept it."""
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/local_flows.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/local_flows.py
@@ -12,8 +12,9 @@
 class RoutingCounts:
     """Counts of packets by outcome.
 
-    ``wrong_service`` counts packets of another service; ``unreachable`` those
-    that had no open stream to the next agent.
+    ``wrong_service`` counts packets for another address or service, and rejected claims
+    and hand-offs. ``unreachable`` counts packets that were dropped because there was no
+    open stream to the next agent, or no next agent yet.
     """
 
     delivered: int = 0
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/ownership.py
@@ -15,7 +15,8 @@
 
 Two homes can't both place a flow: an agent that has recorded a claim no longer places
 the flow on its own, and an agent that has begun to place it never grants a claim. So
-of two homes that claim the flow from each other at most one places it.
+of two homes that claim the flow from each other at most one places it. The other one
+*yields*: it forwards the OPEN instead of placing the flow.
 """
 
 from collections.abc import Callable, Sequence
@@ -99,7 +100,7 @@
     loads: LoadTable = field(default_factory=LoadTable)
     pending: dict[int, PendingOpen] = field(default_factory=dict)
     unknown_since: dict[str, float] = field(default_factory=dict)
-    last_call_id: int = 0
+    last_question: int = 0
     counts: OwnershipCounts = field(default_factory=OwnershipCounts)
     unanswered_handoffs: FlowAgents = field(
         default_factory=lambda: FlowAgents(idle_seconds=UNANSWERED_HANDOFF_SECONDS)
@@ -195,15 +196,18 @@
         return not (first and tuple(candidates) == ranked and self.group.is_stable())
 
     async def _claim(self, flow: int, names: list[str]) -> OpenResult | None:
-        """Claim a flow from agents and from the homes that they name.
+        """Ask agents, and the homes that they name, to record a claim to a flow.
 
         A home named in an answer is asked as well: it may have yielded since, which
         only it knows. Names that have been unknown for ``UNKNOWN_AGENT_SECONDS`` are
         skipped.
 
         Returns:
-            None if all have recorded the claim. Otherwise the result of the OPEN: an
-            owner or another home was named, or an agent is unknown or didn't answer.
+            None if this agent may place the flow: each agent that was asked has
+            recorded the claim, is gone, or named a home that has ended or yielded.
+            Otherwise the result of the OPEN: an owner was named, another home keeps its
+            claim or is not known here, or an agent is not known here yet or didn't
+            answer.
         """
         if unknown_names := self._recently_unknown(names):
             return RetryLater(f"{unknown_names[0]} is not known here yet")
@@ -287,9 +291,10 @@
         return [name for name in names if not self._has_ended(name, 0)]
 
     def _has_ended(self, name: str, incarnation: int) -> bool:
-        """Whether an incarnation has ended; 0 stands for the newest known one.
+        """Whether an incarnation has ended; with 0, whether the agent as a whole has.
 
-        Unlike ``group.is_gone``, this is false with 0 for an agent that has come back.
+        Unlike ``group.is_gone``, this is false with 0 for an agent that was removed and
+        is known again.
         """
         agent = self.group.find_agent(name)
         if agent is not None:
@@ -366,10 +371,10 @@
         limit = NO_LIMIT if is_retry else busy_limit(self.loads, target, attempts_left)
         agent = self.group.find_agent(target) or AgentId(target, 0)
         self.unanswered_handoffs.put(flow, agent, self.clock())
-        self.loads.add_unanswered(target)
+        self.loads.add_pending_handoff(target)
         message = self._new_handoff(packet, limit, yielded)
         [answer] = await self.call_peers([target], message)
-        self.loads.remove_unanswered(target)
+        self.loads.remove_pending_handoff(target)
         match answer:
             case Ok(HandoffAnswer(load=load)):
                 self.loads.update(load)
@@ -399,14 +404,14 @@
         return await self._claim(flow, [home])
 
     def _new_claim(self, flow: int) -> Claim:
-        self.last_call_id += 1
+        self.last_question += 1
         agent_id = self.agent_id
         return Claim(
-            self.service, flow, agent_id.name, agent_id.incarnation, self.last_call_id
+            self.service, flow, agent_id.name, agent_id.incarnation, self.last_question
         )
 
     def _new_handoff(self, packet: Packet, limit: int, yielded: str) -> Handoff:
-        self.last_call_id += 1
+        self.last_question += 1
         agent_id = self.agent_id
         load = load_message(
             self.service, agent_id.name, agent_id.incarnation, self.local.load()
@@ -416,7 +421,7 @@
             packet,
             agent_id.name,
             agent_id.incarnation,
-            self.last_call_id,
+            self.last_question,
             yielded,
             limit,
             load,
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
@@ -58,10 +58,10 @@
         return AgentId(name, incarnation) if incarnation else None
 
     def is_gone(self, name: str, incarnation: int) -> bool:
-        """Whether an incarnation of an agent has ended.
+        """Whether an incarnation of an agent is known here to have ended.
 
-        With 0, whether any incarnation of that name has ended, even if a newer one is
-        alive; always true for this agent's own name.
+        With 0, whether the removal of any incarnation of that name is recorded, even if
+        a newer one is alive; with 0 and this agent's own name always true.
         """
         if name == self.agent_id.name:
             return incarnation < self.agent_id.incarnation
@@ -118,7 +118,7 @@
 
 
 class PeerCalls:
-    """Requests to peers, matched with their answers by peer and request number."""
+    """Requests to peers, matched with their answers by peer and question number."""
 
     def __init__(self, send: Callable[[str, Message], bool]) -> None:
         self.send = send
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/placement.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/placement.py
@@ -43,10 +43,10 @@
 
 @dataclass(slots=True)
 class PeerLoad:
-    """A peer's last ``Load``, and the number of hand-offs to it without an answer."""
+    """A peer's last ``Load``, and the number of hand-offs to it in progress."""
 
     load: Load
-    unanswered: int = 0
+    pending_handoffs: int = 0
 
 
 @dataclass(slots=True)
@@ -64,10 +64,10 @@
         if load.incarnation < peer.load.incarnation:
             return
         if load.incarnation > peer.load.incarnation:
-            peer.unanswered = 0
+            peer.pending_handoffs = 0
         peer.load = load
 
-    def add_unanswered(self, name: str) -> None:
+    def add_pending_handoff(self, name: str) -> None:
         """Count a hand-off that is about to be sent to a peer.
 
         The stored load doesn't include this flow until the peer reports it. Without
@@ -75,13 +75,13 @@
         peer. Does nothing for a peer without a stored load.
         """
         if name in self.peers:
-            self.peers[name].unanswered += 1
+            self.peers[name].pending_handoffs += 1
 
-    def remove_unanswered(self, name: str) -> None:
-        """Count the answer to a hand-off."""
+    def remove_pending_handoff(self, name: str) -> None:
+        """Subtract a hand-off that was answered or is no longer waited for."""
         peer = self.peers.get(name)
-        if peer is not None and peer.unanswered > 0:
-            peer.unanswered -= 1
+        if peer is not None and peer.pending_handoffs > 0:
+            peer.pending_handoffs -= 1
 
     def remove(self, name: str) -> None:
         """Remove a peer that is gone."""
@@ -149,13 +149,13 @@
         attempts_left: Attempts left, including this one.
 
     Returns:
-        The number of running and waiting requests and unanswered hand-offs that the
+        The number of running and waiting requests and pending hand-offs that the
         home knows of, or ``NO_LIMIT``.
     """
     if attempts_left <= 1:
         return NO_LIMIT
     peer = loads.peers[name]
-    return peer.load.running + peer.load.waiting + peer.unanswered
+    return peer.load.running + peer.load.waiting + peer.pending_handoffs
 
 
 def accepts_handoff(own: OwnLoad, limit: int) -> bool:
@@ -239,5 +239,5 @@
 
 def _peer_target(peer: PeerLoad) -> PlacementTarget:
     load = peer.load
-    busy = load.running + load.waiting + peer.unanswered
+    busy = load.running + load.waiting + peer.pending_handoffs
     return PlacementTarget(load.name, load.slots, busy, load.mean_seconds)
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/router.py
@@ -45,7 +45,7 @@
 
     While ``leaving`` is set, this agent accepts no new flows and hands them all off.
     Once ``retired`` is set, it forwards OPENs too, since its directory has been sent to
-    other agents. ``homes`` has the home of each flow owned here.
+    other agents. ``homes_of_owned`` has the home of each flow owned here.
     ``pending_removals`` has incarnations that seem to have ended, and when to remove
     them.
     """
@@ -72,7 +72,7 @@
         self.retired = False
         self.pending_removals: list[tuple[float, AgentId]] = []
         self.inbound: dict[str, Peer] = {}
-        self.homes: dict[int, str] = {}
+        self.homes_of_owned: dict[int, str] = {}
         self.without_data = FlowsWithoutData()
         self.measure_load: Callable[[], OwnLoad] = self.flow_load
         clock = asyncio.get_running_loop().time
@@ -89,7 +89,7 @@
             Directory(idle_seconds=IDLE_SECONDS),
         )
         self.load_reporter = LoadReporter(self.load_message())
-        flows.on_removed = self._flow_ended
+        flows.on_removed = self._record_flow_end
         flows.on_opened = lambda channel: self.without_data.add(channel, clock())
 
     def flow_load(self) -> OwnLoad:
@@ -208,7 +208,7 @@
             case ForwardTo(home) if routed.hops < MAX_HOPS_TO_HOME:
                 self._forward_to(routed, home)
             case _:
-                self.tasks.start(self._open(routed), name="open")
+                self.tasks.start(self._open(routed), name="open flow")
 
     async def _open(self, routed: Routed) -> None:
         """Find or place the owner of a flow, and act on the result."""
@@ -226,7 +226,7 @@
         """Forward a packet of a flow that isn't owned here.
 
         Resets the flow if it has ended, and drops the packet while an OPEN of the flow
-        is handled here and no owner is chosen yet.
+        is handled here and no target is chosen yet.
         """
         flow = routed.packet.flow
         pending = self.ownership.pending.get(flow)
@@ -244,10 +244,10 @@
                 self._forward_to_next(routed)
 
     def _forward_to_next(self, routed: Routed) -> None:
-        """Forward a packet of an unknown flow to the next live candidate.
+        """Forward a packet of a flow without known owner to the next live candidate.
 
-        After twice as many hops as there are candidates, drops an OPEN, and resets the
-        flow of any other packet.
+        After twice as many hops as there are candidates, or if no other candidate is
+        live, drops an OPEN, and resets the flow of any other packet.
         """
         if routed.hops == 0:
             # The balancer sent the packet here by its ranking or by an outdated hint,
@@ -260,9 +260,9 @@
             return
         self.counts.unknown_flow += 1
         if routed.packet.kind == Kind.OPEN:
-            # A retired agent, and an agent that still records the retired one as home,
+            # For example, a retired agent and an agent that still records it as home
             # forwarded the OPEN to each other. The fabric sends the OPEN again, and by
-            # then the retired agent is gone.
+            # then the retired agent is usually gone.
             return
         self._send_reset(routed.packet, "unknown flow")
 
@@ -327,24 +327,31 @@
             return
         answer = handlers.answer_handoff(self.ownership, handoff)
         if answer is not None and answer.accepted:
-            self.homes[handoff.packet.flow] = handoff.home
+            self.homes_of_owned[handoff.packet.flow] = handoff.home
         self._reply(peer, answer)
 
-    def _flow_ended(self, flow: int) -> None:
-        """Record the end of a flow owned here, and report it to the flow's home."""
-        home = self.homes.pop(flow, "")
+    def _record_flow_end(self, flow: int) -> None:
+        """Record the end of a flow owned here, and report it to the flow's home.
+
+        Called when the channel of the ended flow is removed.
+        """
+        home = self.homes_of_owned.pop(flow, "")
         self.ownership.directory.end_flow(flow, self.agent_id, self.clock())
         if home:
             self.send(home, Owner(flow, "", self.agent_id.incarnation))
 
     async def run(self) -> None:
-        """Call ``check_group`` periodically until cancelled."""
+        """Call ``update_group`` periodically until cancelled."""
         while True:
-            self.check_group()
+            self.update_group()
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
-    def check_group(self) -> None:
-        """Remove ended incarnations, expire directory entries, send the load if due.
+    def update_group(self) -> None:
+        """Handle ended incarnations, expire directory entries, send the load if due.
+
+        For an ended incarnation, the pending calls to it fail, its load is dropped and
+        the flows owned here whose home it was are registered at their next home. This
+        is done without delay; its own flows may be recorded as ended later.
 
         Failure detection may remove an agent that is only slow; the agent then
         continues under a new incarnation. If a stream to or from it is still open, it
@@ -392,9 +399,9 @@
         packet of these flows would be forwarded from candidate to candidate until the
         balancers have learned the owner.
         """
-        for flow, home in list(self.homes.items()):
+        for flow, home in list(self.homes_of_owned.items()):
             if home == gone:
-                self.homes[flow] = self._register(flow, self.agent_id)
+                self.homes_of_owned[flow] = self._register(flow, self.agent_id)
 
     def _register(self, flow: int, owner: AgentId) -> str:
         """Send a flow's owner to its next home.
@@ -419,7 +426,7 @@
         self.agent_id = AgentId(self.name, incarnation)
         self.ownership.agent_id = self.group.agent_id = self.agent_id
         for flow in self.flows.owned:
-            self.homes[flow] = self._register(flow, self.agent_id)
+            self.homes_of_owned[flow] = self._register(flow, self.agent_id)
 
     def retire(self) -> None:
         """Send the directory to the flows' next homes, and place no more flows."""
--- a/packages/cornelspan-requests/src/cornelspan_requests/backend.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/backend.py
@@ -55,7 +55,7 @@
     """Passes an answer on to its sink, and records how much of it arrived.
 
     ``server_rejected`` is set if the server rejected the request without running it,
-    and ``unframed`` if the end of the answer can't be told from a broken connection.
+    and ``end_unknown`` if the end of the answer can't be told from a broken connection.
     """
 
     sink: AnswerSink
@@ -63,7 +63,7 @@
     begun: bool = False
     complete: bool = False
     server_rejected: bool = False
-    unframed: bool = False
+    end_unknown: bool = False
     caller_gone: bool = False
     status: int = 0
     retry_after: float = 0.0
@@ -76,13 +76,13 @@
             return
         self.status = start_line.code
         self.server_rejected = is_rejected(start_line.code, headers)
-        self.unframed = not self.head_request and not _is_framed(
+        self.end_unknown = not self.head_request and not _is_framed(
             start_line.code, headers
         )
         if self.server_rejected:
             self.retry_after = _parse_seconds(headers.get("Retry-After", ""))
             return
-        if self.unframed:
+        if self.end_unknown:
             return
         headers[OUTCOME_HEADER] = RequestOutcome.RAN.value
         head = AnswerHead(
@@ -142,7 +142,8 @@
     except TimeoutError:
         return Err(Failure(RequestOutcome.UNKNOWN, Reason.DEADLINE))
     finally:
-        # Closing the connection also tells the server that the request is cancelled.
+        # If the answer is incomplete, this also tells the server that the request is
+        # cancelled.
         stream.close()
 
 
@@ -169,9 +170,12 @@
     if reader.caller_gone:
         return Err(Failure(RequestOutcome.UNKNOWN, Reason.CANCELLED))
     if reader.server_rejected:
-        failure = Failure(RequestOutcome.NOT_RUN, Reason.SHED, reader.retry_after)
+        failure = Failure(
+            RequestOutcome.NOT_RUN, Reason.SERVER_REJECTED, reader.retry_after
+        )
         return Err(failure)
-    if not reader.complete or reader.unframed:
+    # ``BROKEN`` also stands for an answer whose end is unknown; it may be complete.
+    if not reader.complete or reader.end_unknown:
         return Err(Failure(RequestOutcome.UNKNOWN, Reason.BROKEN))
     return Ok(reader.status)
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/claims.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/claims.py
@@ -51,7 +51,8 @@
 class Existing:
     """The key is claimed already.
 
-    ``holder_gone`` tells that the agent that holds the claim has died or restarted.
+    ``holder_gone`` tells that the agent that holds the claim has died, left or
+    restarted.
     """
 
     record: KeyRecord
--- a/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/dispatch.py
@@ -101,7 +101,7 @@
 def _urgent_load(peer: PeerLoad) -> PeerLoad:
     """Return the load of a peer with only its urgent requests as waiting."""
     load = structs.replace(peer.load, waiting=peer.load.urgent)
-    return PeerLoad(load, peer.unanswered)
+    return PeerLoad(load, peer.pending_handoffs)
 
 
 class TrackedSink(AnswerSink, Protocol):
@@ -259,9 +259,9 @@
         self.counts.moved += 1
         # Add the request to the peer's load until the peer's own report includes it.
         # Otherwise all requests of the same moment would go to the same idle peer.
-        self.peers.loads.add_unanswered(destination)
+        self.peers.loads.add_pending_handoff(destination)
         self.loop.call_later(
-            PENDING_LOAD_SECONDS, self.peers.loads.remove_unanswered, destination
+            PENDING_LOAD_SECONDS, self.peers.loads.remove_pending_handoff, destination
         )
         return await self.handoffs.send(destination, request, sink)
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/endpoint.py
@@ -78,7 +78,7 @@
             profile: The profile of the service.
 
         Returns:
-            The status of the answer, or why there is none.
+            The status once the whole answer was passed on, or why it was not.
         """
         if (failure := self._reject_if_ejected(profile)) is not None:
             return Err(failure)
@@ -215,7 +215,9 @@
             self._free_slot(ticket, record_time=False)
 
     def _record_result(self, result: Result[int, Failure], profile: Profile) -> bool:
-        """Count a result as success or failure; this may eject or readmit the endpoint.
+        """Count a result as success or failure, or as neither if it was cancelled.
+
+        This may eject or readmit the endpoint.
 
         Returns:
             Whether the request's duration counts as a service time.
@@ -242,7 +244,7 @@
             self.slow_start.restart(now)
             # Service times from before the ejection would eject it again at once.
             self.admission.times = ServiceTimes()
-            log.info("endpoint readmitted")
+            log.info("endpoint readmitted after probe")
         if self.admission.times.count < MIN_LATENCY_SAMPLES:
             return
         loads = list(self.peer_loads())
--- a/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/exchange.py
@@ -114,7 +114,9 @@
         This is logged if the caller is still connected and so gets a partial answer.
         """
         if self.begun and not self.connection.stream.closed():
-            log.warning("connection closed during answer", extra={"reason": reason})
+            log.warning(
+                "agent closed the connection during an answer", extra={"reason": reason}
+            )
         self.connection.close()
 
     async def send_failure(self, failure: Failure) -> None:
--- a/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/gateway.py
@@ -162,14 +162,16 @@
             stream: The flow's bytes.
             caller: The client's address without port, as the unit of fair sharing.
         """
-        over_limit = len(self.streams) >= self.settings.connections
+        over_connection_limit = len(self.streams) >= self.settings.connections
         profile = self.profile
 
         async def respond(incoming: IncomingRequest, answer: Answer) -> None:
-            answer.close_after = over_limit or self.dispatcher.leaving
-            await self._respond(incoming, answer, caller, over_limit=over_limit)
+            answer.close_after = over_connection_limit or self.dispatcher.leaving
+            await self._respond(
+                incoming, answer, caller, over_connection_limit=over_connection_limit
+            )
 
-        self.refused_connections += over_limit
+        self.refused_connections += over_connection_limit
         self.streams.add(stream)
         try:
             await serve_requests(
@@ -234,15 +236,22 @@
         answer: Answer,
         caller: str,
         *,
-        over_limit: bool,
+        over_connection_limit: bool,
     ) -> None:
-        """Answer one request, and count it against the service's objective."""
+        """Answer one request, and count it as good or bad for the service's objective.
+
+        A failure that the caller caused is not counted.
+        """
         profile = self.profile
         request = request_of(incoming, profile, caller, self.loop.time())
         self.active += 1
         try:
-            result = await self._result(
-                incoming, request, answer, profile, over_limit=over_limit
+            result = await self._serve(
+                incoming,
+                request,
+                answer,
+                profile,
+                over_connection_limit=over_connection_limit,
             )
         finally:
             self.active -= 1
@@ -261,19 +270,19 @@
             objective=profile.objective,
         )
 
-    async def _result(
+    async def _serve(
         self,
         incoming: IncomingRequest,
         request: Request,
         answer: Answer,
         profile: Profile,
         *,
-        over_limit: bool,
+        over_connection_limit: bool,
     ) -> Result[int, Failure]:
         """Serve a request, or return why it is not served."""
         if incoming.too_large:
             return Err(Failure(RequestOutcome.NOT_RUN, Reason.TOO_LARGE))
-        if over_limit:
+        if over_connection_limit:
             reason = Reason.CONNECTIONS
             return Err(Failure(RequestOutcome.NOT_RUN, reason, MIN_RETRY_AFTER_SECONDS))
         if not needs_claim(request):
--- a/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
@@ -207,13 +207,14 @@
         )
         if not self.send_message(name, start):
             return False
-        for at in range(0, max(1, len(request.body)), PART_BYTES):
-            part = request.body[at : at + PART_BYTES]
-            last = at + PART_BYTES >= len(request.body)
-            if not self.send_message(name, RequestPart(number, at, part, last)):
+        for offset in range(0, max(1, len(request.body)), PART_BYTES):
+            part = request.body[offset : offset + PART_BYTES]
+            last = offset + PART_BYTES >= len(request.body)
+            if not self.send_message(name, RequestPart(number, offset, part, last)):
                 return False
             if not last:
-                # One part per iteration of the event loop keeps frames within limits.
+                # The messages of one iteration of the event loop are sent as one frame,
+                # whose size is limited.
                 await asyncio.sleep(0)
         return True
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/keyed.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/keyed.py
@@ -47,13 +47,17 @@
         return self.head is not None
 
     async def start(self, head: AnswerHead) -> bool:
-        """Send and keep status and headers."""
+        """Send and keep status and headers; always True, as for ``write``."""
         self.head = head
         self.caller_gone = self.caller_gone or not await self.answer.start(head)
         return True
 
     async def write(self, chunk: bytes) -> bool:
-        """Send and keep a part of the body."""
+        """Send a part of the body, and keep it unless the answer is too long to keep.
+
+        Returns:
+            Always True, so that the run goes on without the caller.
+        """
         if len(self.body) + len(chunk) > MAX_KEPT_BYTES:
             self.too_long = True
             self.body.clear()
--- a/packages/cornelspan-requests/src/cornelspan_requests/objectives.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/objectives.py
@@ -61,7 +61,7 @@
         self._record_latency(seconds)
         self._drop_old_minutes()
 
-    def seal(self, minute: int) -> None:
+    def delete_stored(self, minute: int) -> None:
         """Delete the counts up to a minute that the store has.
 
         Args:
--- a/packages/cornelspan-requests/src/cornelspan_requests/outcomes.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/outcomes.py
@@ -44,7 +44,7 @@
     MOVED = "moved"
     CONNECTIONS = "connections"
     REFUSED = "connection-refused"
-    SHED = "server-shed"
+    SERVER_REJECTED = "server-shed"
     BROKEN = "connection-broken"
     TOO_LARGE = "body-too-large"
     KEY_BUSY = "key-busy"
--- a/packages/cornelspan-requests/src/cornelspan_requests/reporting.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/reporting.py
@@ -15,9 +15,10 @@
 ) -> None:
     """Report the counts at jittered intervals until cancelled.
 
-    Minutes that the store has are deleted as soon as the relay balancer confirms them.
+    The counts of a minute are deleted once the relay balancer has confirmed that they
+    are in the store.
     """
-    control_plane.on_counts_stored = counts.seal
+    control_plane.on_counts_stored = counts.delete_stored
     while True:
         await asyncio.sleep(REPORT_SECONDS * random.uniform(0.8, 1.2))
         control_plane.send_to_relays(counts.message(settings.name, settings.service))
--- a/packages/cornelspan-requests/src/cornelspan_requests/retries.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/retries.py
@@ -8,7 +8,7 @@
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"})
 BUDGET_WINDOW_SECONDS = 10.0
-MIN_RETRIES = 1
+MIN_BUDGET = 1
 RandomFraction = Callable[[], float]
 
 
@@ -42,6 +42,8 @@
 class RetryBudget:
     """Limits retries to a share of the requests of the last 10 to 20 seconds.
 
+    At least ``MIN_BUDGET`` is allowed, so that a service with few requests can retry.
+
     Without a budget, retries would multiply the load of a service just when it fails.
     ``started`` is the start of the current window of ``BUDGET_WINDOW_SECONDS``; the
     counts of the window before it are kept as well.
@@ -62,7 +64,7 @@
         """Take one retry from the budget; False if none is left."""
         self._advance(now)
         requests = self.requests + self.previous_requests
-        allowed = max(MIN_RETRIES, int(requests * policy.budget_share))
+        allowed = max(MIN_BUDGET, int(requests * policy.budget_share))
         if self.retries + self.previous_retries >= allowed:
             return False
         self.retries += 1
--- a/packages/cornelspan-standins/src/cornelspan_standins/_placement_policies.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_placement_policies.py
@@ -181,7 +181,7 @@
             return
         target = self.numbers[chosen]
         limit = busy_limit(self.views[home], chosen, tries)
-        self.views[home].add_unanswered(chosen)
+        self.views[home].add_pending_handoff(chosen)
         self.messages += 2
         load = self._load(home)
 
@@ -194,7 +194,7 @@
             self.run.after(NETWORK_SECONDS, lambda: answered(answer, taken))
 
         def answered(answer: Load, taken: bool) -> None:
-            self.views[home].remove_unanswered(chosen)
+            self.views[home].remove_pending_handoff(chosen)
             self.views[home].update(answer)
             if not taken:
                 self._try(home, peers, tries - 1, arrive)
--- a/packages/cornelspan-standins/src/cornelspan_standins/_requests_run.py
+++ b/packages/cornelspan-standins/src/cornelspan_standins/_requests_run.py
@@ -169,7 +169,7 @@
         if name is None:
             return None
         if name != LOCAL:
-            site.loads.add_unanswered(name)
+            site.loads.add_pending_handoff(name)
         return owner if name == LOCAL else int(name)
 
     def _moves_on(self, job: Job, refusal: Failure) -> bool:
@@ -247,7 +247,7 @@
             for other in self.sites:
                 if other is not site:
                     other.loads.update(load)
-                    other.loads.peers[str(at)].unanswered = 0
+                    other.loads.peers[str(at)].pending_handoffs = 0
         for at, site in enumerate(self.sites):
             self._move_first(at, site)
         if self.now < self.case.seconds:
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -44,7 +44,7 @@
     counts = ObjectiveCounts(clock=lambda: now[0])
     for now[0] in (60.0, 120.0, 180.0):
         counts.record(succeeded=True, seconds=0.1, objective=OBJECTIVE)
-    counts.seal(2)
+    counts.delete_stored(2)
     again = [counts.message("a", "s").minutes for _ in range(2)]
     assert again[0] == again[1]
     assert [minute.number for minute in again[0]] == [3]
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -15,12 +15,12 @@
 
 @pytest.fixture(autouse=True)
 def often_swept(monkeypatch):
-    monkeypatch.setattr(flows_module, "SWEEP_SECONDS", 0.01)
+    monkeypatch.setattr(flows_module, "IDLE_CHECK_SECONDS", 0.01)
 
 
 @asynccontextmanager
 async def running_flows():
-    """Yield flows that are swept every 10 ms, and the packets sent to their fabric."""
+    """Yield flows, with an idle check every 10 ms, and the packets sent to a fabric."""
     sent = []
 
     async def serve(channel):
@@ -29,7 +29,7 @@
 
     async with task_group() as tasks:
         flows = Flows("hub-1", tasks, sent.append, serve)
-        tasks.start(flows.sweep(lambda: 0.2), name="sweep")
+        tasks.start(flows.reset_idle_flows(lambda: 0.2), name="reset idle flows")
         yield flows, sent
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -90,7 +90,7 @@
     chosen = []
     for _ in range(3):
         name = rank_targets(FULL, loads, ["a", "b"])[0]
-        loads.add_unanswered(name)
+        loads.add_pending_handoff(name)
         chosen.append(name)
     assert sorted(chosen) == ["a", "a", "b"]
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -137,11 +137,11 @@
     # If the flow of a dead owner were placed again, the new owner could run a request a
     # second time; if its packets were dropped, the client would wait for a timeout. So
     # the flow is reset at once.
-    world.router.check_group()
+    world.router.update_group()
     world.router.receive(world.agents["hub-2"], Owner(7, "hub-3", 1))
     world.agents["hub-3"].closed = True
     world.members.remove("hub-3", 1)
-    world.router.check_group()
+    world.router.update_group()
     for kind in (Kind.OPEN, Kind.DATA):
         world.router.route(routed(kind))
     assert [packet.body for packet in world.to_fabric] == [b"owner lost"] * 2
@@ -151,20 +151,20 @@
     # Failure detection removes an owner that is only slow; its stream is still open.
     # The flow must not be reset: the owner continues under a new incarnation and
     # registers the flow again, after which packets must reach it.
-    world.router.check_group()
+    world.router.update_group()
     owner = world.agents["hub-3"]
     world.router.receive(world.agents["hub-2"], Owner(7, "hub-3", 1))
     world.members.remove("hub-3", 1)
-    world.router.check_group()
+    world.router.update_group()
     world.router.route(routed(Kind.DATA))
     assert world.to_fabric == []
     world.members.record(msgspec.structs.replace(announcement("hub-3"), incarnation=2))
-    world.router.check_group()
+    world.router.update_group()
     world.router.receive(owner, Owner(7, "hub-3", 2))
     world.router.pending_removals = [
         (0.0, agent) for _, agent in world.router.pending_removals
     ]
-    world.router.check_group()
+    world.router.update_group()
     before = len(sent(owner, Routed))
     world.router.route(routed(Kind.DATA))
     assert len(sent(owner, Routed)) == before + 1
@@ -172,31 +172,31 @@
 
 
 async def test_owner_that_stays_silent_is_given_up(world):
-    world.router.check_group()
+    world.router.update_group()
     world.router.receive(world.agents["hub-2"], Owner(7, "hub-3", 1))
     world.members.remove("hub-3", 1)
-    world.router.check_group()
+    world.router.update_group()
     world.router.pending_removals = [
         (0.0, agent) for _, agent in world.router.pending_removals
     ]
-    world.router.check_group()
+    world.router.update_group()
     world.router.route(routed(Kind.DATA))
     assert [packet.body for packet in world.to_fabric] == [b"owner lost"]
 
 
 async def test_owner_registers_with_the_next_home_when_its_home_is_gone(world):
-    world.router.check_group()
+    world.router.update_group()
     world.router.flows.open(routed(Kind.OPEN).packet)
-    world.router.homes[7] = "hub-3"
+    world.router.homes_of_owned[7] = "hub-3"
     world.members.remove("hub-3", 1)
-    world.router.check_group()
+    world.router.update_group()
     ranked = world.router.group.ranked(7)
     messages = sent(world.agents["hub-2"], Owner)
     assert messages == ([Owner(7, "hub-1", 1)] if ranked[0] == "hub-2" else [])
 
 
 async def test_retiring_agent_hands_its_directory_over(world):
-    world.router.check_group()
+    world.router.update_group()
     flows = range(100)
     for flow in flows:
         world.router.ownership.directory.owners.put(flow, AgentId("hub-3", 1), 0.0)
@@ -208,9 +208,9 @@
 
 
 async def test_leaving_agent_keeps_no_new_flow_and_tells_so_at_once(world):
-    world.router.check_group()
+    world.router.update_group()
     world.router.leaving = True
-    world.router.check_group()
+    world.router.update_group()
     last_load = world.agents["hub-2"].sent[-1]
     assert last_load.slots == 0
     load = world.router.load_message()
