--- a/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
+++ b/packages/cornelspan-balancer/src/cornelspan_balancer/service_levels.py
@@ -15,8 +15,8 @@
 from result import Err, Ok
 
 from cornelspan_common.logs import get_log
-from cornelspan_common.metrics import Labelled
-from cornelspan_common.service_levels import MINUTE_SECONDS, Sealed, ServiceCounts
+from cornelspan_common.metrics import LabelledValue
+from cornelspan_common.service_levels import MINUTE_SECONDS, SealedMinute, ServiceCounts
 from cornelspan_control.burn import Burn, Series, burn_of, merge_series
 from cornelspan_control.configuration import Configuration
 from cornelspan_control.plane import Plane
@@ -41,8 +41,10 @@
 class ServiceLevels:
     """The counts that agents reported to this relay, by data centre, and its alerts.
 
-    Alerts depend on the relay's own counts only. So they work without the store and
-    without other data centres, within ``CHECK_SECONDS`` of the first complete minute.
+    Alerts depend only on what this relay has in memory: the counts reported to it, and
+    the summaries as it last wrote them to the store. So they work while the store and
+    other data centres can't be reached, within ``CHECK_SECONDS`` of the first complete
+    minute. ``burns`` has the burn rates, budget and alerts of each service.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -52,7 +54,7 @@
         self.burns: dict[str, Burn] = {}
         self.firing: set[tuple[str, str]] = set()
 
-    def add_counts(self, counts: ServiceCounts, datacentre: str) -> Sealed:
+    def add_counts(self, counts: ServiceCounts, datacentre: str) -> SealedMinute:
         """Add an agent's counts and return which minutes it need not send again.
 
         Counts are grouped by the agent's data centre, not the relay's. A data centre
@@ -61,7 +63,7 @@
         """
         collector = self.collectors.setdefault(datacentre, Collector(datacentre))
         collector.record(counts)
-        return Sealed(collector.sealed_minute(counts.agent, counts.incarnation))
+        return SealedMinute(collector.sealed_minute(counts.agent, counts.incarnation))
 
     def update_alerts(self, now: int) -> list[AlertChange]:
         """Recompute the burn rates of services with counts, and which alerts fire.
@@ -87,18 +89,18 @@
         self.firing = firing
         return changes
 
-    def rates(self) -> list[Labelled]:
+    def rates(self) -> list[LabelledValue]:
         """Return the burn rates by service and window, as metric values."""
         return [
-            Labelled({"service": service, "window": window}, rate)
+            LabelledValue({"service": service, "window": window}, rate)
             for service, burn in self.burns.items()
             for window, rate in burn.rates.items()
         ]
 
-    def alerts(self) -> list[Labelled]:
+    def alerts(self) -> list[LabelledValue]:
         """Return the firing alerts by service and name, as metric values."""
         return [
-            Labelled({"service": service, "alert": alert}, 1)
+            LabelledValue({"service": service, "alert": alert}, 1)
             for service, alert in sorted(self.firing)
         ]
 
@@ -135,7 +137,7 @@
             case Ok(_):
                 return
             case Err(error):
-                log.info("request counts not stored", extra={"why": str(error)})
+                log.info("could not store request counts", extra={"why": str(error)})
 
     def _objective(self, service: str) -> Objective:
         profile = self.configuration.profile_of(service)
--- a/packages/cornelspan-cli/src/cornelspan_cli/_client.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/_client.py
@@ -1,4 +1,4 @@
-"""What every operator command has: its settings, a store client, and waiting."""
+"""Base classes of the operator commands, and submission of configuration changes."""
 
 import asyncio
 import getpass
@@ -11,7 +11,7 @@
 import cappa
 from result import Err, Ok
 
-from cornelspan_cli._output import Exit, fail, show_json
+from cornelspan_cli._output import ExitCode, fail, show_json
 from cornelspan_common.settings import ClientSettings, load_settings
 from cornelspan_common.tls import Tls, open_tls
 from cornelspan_control.changes import Change, accept
@@ -20,60 +20,74 @@
 from cornelspan_control.store import StoreClient
 
 DEFAULT_SETTINGS = "cornelspan.json"
-WAIT_STEP_SECONDS = 0.5
+POLL_INTERVAL_SECONDS = 0.5
 
 
 @dataclass(frozen=True, kw_only=True)
-class Common(ABC):
-    """Options of every operator command, and how each is run."""
+class OperatorCommand(ABC):
+    """Base of the commands that connect to the store, with their common options."""
 
     settings: Annotated[
         str,
         cappa.Arg(
             long="--settings",
             default=cappa.Env("CORNELSPAN_SETTINGS", default=DEFAULT_SETTINGS),
-            help="JSON settings of this client.",
+            help="JSON settings file of this client, also set by CORNELSPAN_SETTINGS.",
         ),
     ] = DEFAULT_SETTINGS
-    json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON.")] = False
+    json: Annotated[
+        bool, cappa.Arg(long="--json", help="Print the result as JSON.")
+    ] = False
 
     def __call__(self) -> int:
         """Run the command and return its exit code."""
-        return run(self, self.work)
+        return run_command(self, self.execute)
 
     @abstractmethod
-    async def work(self, session: "Session") -> int:
-        """Do what the command is for, and return its exit code."""
+    async def execute(self, session: "Session") -> int:
+        """Run the body of the command and return its exit code."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Changing(Common):
-    """Options of every command that changes the configuration."""
+class ChangeCommand(OperatorCommand):
+    """Base of the commands that change the configuration, with their options."""
 
-    author: Annotated[str, cappa.Arg(long="--author", help="Who makes the change.")] = (
-        ""
-    )
+    author: Annotated[
+        str,
+        cappa.Arg(
+            long="--author",
+            help="Author recorded with the change; by default the login name.",
+        ),
+    ] = ""
     wait: Annotated[
-        bool, cappa.Arg(long="--wait", help="Wait until it is in force everywhere.")
+        bool,
+        cappa.Arg(
+            long="--wait",
+            help="Wait until the change is in force on every daemon, exit 6 if not.",
+        ),
     ] = False
     wait_seconds: Annotated[
-        float, cappa.Arg(long="--wait-seconds", help="How long to wait.")
+        float, cappa.Arg(long="--wait-seconds", help="Timeout of --wait, in seconds.")
     ] = 15.0
 
 
 @dataclass(frozen=True, slots=True)
 class Session:
-    """The store client and settings of one command."""
+    """The store client and the settings that one command runs with."""
 
     client: StoreClient
     settings: ClientSettings
 
 
-Work = Callable[[Session], Awaitable[int]]
+CommandBody = Callable[[Session], Awaitable[int]]
+
 
+def run_command(options: OperatorCommand, execute: CommandBody) -> int:
+    """Load the settings, run the body of a command and return the exit code.
 
-def run(options: Common, work: Work) -> int:
-    """Load the settings, run a command's work, and return its exit code."""
+    Returns:
+        The exit code of the body, or the one for unusable settings or TLS files.
+    """
     match load_settings(options.settings, ClientSettings):
         case Err(error):
             return fail(error)
@@ -83,24 +97,32 @@
         case Err(error):
             return fail(error)
         case Ok(tls):
-            return asyncio.run(_run(settings, tls, work))
+            return asyncio.run(_run_with_client(settings, tls, execute))
 
 
-async def _run(settings: ClientSettings, tls: Tls, work: Work) -> int:
+async def _run_with_client(
+    settings: ClientSettings, tls: Tls, execute: CommandBody
+) -> int:
     client = StoreClient(settings.store, tls=tls.client)
     try:
-        return await work(Session(client, settings))
+        return await execute(Session(client, settings))
     finally:
         client.close()
 
 
-def author_of(options: Changing) -> str:
-    """Return the author to record with a change."""
+def change_author(options: ChangeCommand) -> str:
+    """Return the author to record with a change: the option, or the login name."""
     return options.author or getpass.getuser()
 
 
-async def make(session: Session, options: Changing, change: Change) -> int:
-    """Have a change accepted, say so, and wait for it if asked to."""
+async def submit_change(
+    session: Session, options: ChangeCommand, change: Change
+) -> int:
+    """Submit a change, print its revision, and wait if ``--wait`` is given.
+
+    Returns:
+        The exit code; an error is printed on standard error.
+    """
     match await accept(session.client, change):
         case Err(error):
             return fail(error)
@@ -111,13 +133,18 @@
     else:
         print(f"accepted as revision {accepted.revision}, version {accepted.change}")
     if not options.wait:
-        return Exit.DONE
-    return await _wait(session, options, accepted)
+        return ExitCode.SUCCESS
+    return await _wait_until_in_force(session, options, accepted)
 
 
-async def _wait(session: Session, options: Changing, accepted: AcceptedChange) -> int:
-    """Wait until every live daemon has the revision, or say which has not."""
-    ends = time.monotonic() + options.wait_seconds
+async def _wait_until_in_force(
+    session: Session, options: ChangeCommand, accepted: AcceptedChange
+) -> int:
+    """Wait until the revision is in force on every daemon that a relay knows.
+
+    After the timeout, the names of the daemons that are behind are printed.
+    """
+    deadline = time.monotonic() + options.wait_seconds
     revision = accepted.revision
     while True:
         fleet = await read_fleet_status(
@@ -126,10 +153,12 @@
         behind = fleet.members_behind(revision)
         if fleet.answers and not behind:
             print(f"in force on {len(fleet.members())} daemons")
-            return Exit.DONE
-        if time.monotonic() > ends:
+            return ExitCode.SUCCESS
+        if time.monotonic() > deadline:
             break
-        await asyncio.sleep(WAIT_STEP_SECONDS)
-    missing = ", ".join(behind) if fleet.answers else "all, since no relay answers"
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
+    missing = (
+        ", ".join(behind) if fleet.answers else "all daemons, since no relay answered"
+    )
     fail(f"accepted, but revision {revision} is not yet in force on: {missing}")
-    return Exit.NOT_IN_FORCE
+    return ExitCode.NOT_IN_FORCE
--- a/packages/cornelspan-cli/src/cornelspan_cli/_output.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/_output.py
@@ -1,4 +1,4 @@
-"""Output of the operators' commands, and their exit codes."""
+"""Output and exit codes of the operator commands."""
 
 import sys
 from collections.abc import Iterable
@@ -19,21 +19,21 @@
 )
 
 
-class Exit(IntEnum):
-    """Exit codes; documented in docs/OPERATIONS.md."""
+class ExitCode(IntEnum):
+    """Exit codes of the operator commands, documented in docs/OPERATIONS.md."""
 
-    DONE = 0
-    REFUSED = 1
-    USAGE = 2
+    SUCCESS = 0
+    REJECTED = 1
+    USAGE_ERROR = 2
     CONFLICT = 3
-    STORE = 4
-    UNKNOWN = 5
+    STORE_ERROR = 4
+    INDETERMINATE = 5
     NOT_IN_FORCE = 6
     ALERT = 7
 
 
 def show_table(title: str, columns: Iterable[str], rows: Iterable[Iterable]) -> None:
-    """Print a table for people."""
+    """Print a table with a title on standard output."""
     table = Table(*columns, title=title, title_justify="left")
     for row in rows:
         table.add_row(*(str(cell) for cell in row))
@@ -46,11 +46,14 @@
 
 
 def fail(error: object) -> int:
-    """Say on standard error what went wrong, and return the exit code for it."""
+    """Print an error on standard error and return its exit code.
+
+    A conflict is printed with the version in force, so that the operator can merge.
+    """
     print(f"cornelspan: {error}", file=sys.stderr)
     if isinstance(error, Conflict) and error.current is not None:
-        theirs = error.current.profile or error.current.service
-        text = msgspec.json.encode(theirs).decode()
+        current = error.current.profile or error.current.service
+        text = msgspec.json.encode(current).decode()
         print(f"in force, version {error.current.change}: {text}", file=sys.stderr)
     return exit_code(error)
 
@@ -59,12 +62,12 @@
     """Return the exit code for an error."""
     match error:
         case Invalid() | NotFound():
-            return Exit.REFUSED
+            return ExitCode.REJECTED
         case Conflict():
-            return Exit.CONFLICT
+            return ExitCode.CONFLICT
         case Indeterminate():
-            return Exit.UNKNOWN
+            return ExitCode.INDETERMINATE
         case SettingsError():
-            return Exit.USAGE
+            return ExitCode.USAGE_ERROR
         case NotWritten() | _:
-            return Exit.STORE
+            return ExitCode.STORE_ERROR
--- a/packages/cornelspan-cli/src/cornelspan_cli/report_page.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/report_page.py
@@ -1,4 +1,4 @@
-"""The report as one HTML page with its plots inside."""
+"""The report as one HTML page with embedded plots."""
 
 import base64
 import io
@@ -19,13 +19,13 @@
 
 matplotlib.use("Agg")
 
-SHOWN_HOURS = 72
+PLOTTED_HOURS = 72
 FIGURE_INCHES = (7.0, 2.2)
 DOTS_PER_INCH = 90
 
 
 def render_page(report: Report) -> str:
-    """Return the page; it needs nothing beside itself."""
+    """Return the report as an HTML page that loads no other files."""
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("cornelspan_cli"), autoescape=True
     )
@@ -37,13 +37,18 @@
     )
 
 
-def burn_plot(each: ServiceReport) -> str:
-    """Return a service's burn rate by hour as a PNG in base64."""
-    hours = each.series.hours[-SHOWN_HOURS:]
+def burn_plot(service: ServiceReport) -> str:
+    """Return a plot of a service's hourly burn rate as a PNG image in base64.
+
+    Horizontal lines mark the thresholds of the alert rules.
+    """
+    hours = service.series.hours[-PLOTTED_HOURS:]
     figure = Figure(figsize=FIGURE_INCHES)
     axes = figure.subplots()
     times = [datetime.fromtimestamp(bucket.number * 3600, UTC) for bucket in hours]
-    axes.plot(times, [_rate(bucket, each) for bucket in hours], marker=".")
+    axes.plot(
+        times, [_hourly_burn_rate(bucket, service) for bucket in hours], marker="."
+    )
     for rule in RULES:
         axes.axhline(rule.rate, linestyle="--", linewidth=0.7, label=rule.name)
     axes.set_ylabel("burn rate")
@@ -54,5 +59,5 @@
     return base64.b64encode(image.getvalue()).decode()
 
 
-def _rate(bucket: Bucket, each: ServiceReport) -> float:
-    return burn_rate(Totals(bucket.good, bucket.bad), each.burn.objective)
+def _hourly_burn_rate(bucket: Bucket, service: ServiceReport) -> float:
+    return burn_rate(Totals(bucket.good, bucket.bad), service.burn.objective)
--- a/packages/cornelspan-cli/src/cornelspan_cli/status.py
+++ b/packages/cornelspan-cli/src/cornelspan_cli/status.py
@@ -1,12 +1,12 @@
-"""``cornelspan status``: what is in force where, and which endpoints there are."""
+"""``cornelspan status``: the revision and state of each daemon."""
 
 from dataclasses import dataclass
 
 import cappa
 from result import Err, Ok
 
-from cornelspan_cli._client import Common, Session
-from cornelspan_cli._output import Exit, fail, show_json, show_table
+from cornelspan_cli._client import OperatorCommand, Session
+from cornelspan_cli._output import ExitCode, fail, show_json, show_table
 from cornelspan_common.control import MemberStatus
 from cornelspan_control.fleet_status import FleetStatus, read_fleet_status
 from cornelspan_control.records import read_head
@@ -16,14 +16,14 @@
 
 @cappa.command(name="status", help="Show the revision and state of each daemon.")
 @dataclass(frozen=True, kw_only=True)
-class StatusCommand(Common):
-    """Show the fleet; exit 6 if a daemon is behind the accepted revision.
+class StatusCommand(OperatorCommand):
+    """Show all daemons; exit 6 if one is behind the accepted revision.
 
     Example: cornelspan status --json
     """
 
-    async def work(self, session: Session) -> int:
-        """Ask the relays, and print what they know."""
+    async def execute(self, session: Session) -> int:
+        """Ask the relays for their members, and print them."""
         fleet = await read_fleet_status(
             session.client, session.settings, name="cornelspan"
         )
@@ -35,13 +35,13 @@
             case Err(error):
                 warnings.append(f"accepted revision unknown: {error}")
         if not fleet.answers:
-            return fail(f"no relay answers; {'; '.join(warnings)}")
+            return fail(f"no relay answered; {'; '.join(warnings)}")
         behind = fleet.members_behind(accepted)
         if self.json:
             _print_json(fleet, accepted, warnings)
         else:
             _print_table(fleet, accepted, warnings)
-        return Exit.NOT_IN_FORCE if behind else Exit.DONE
+        return ExitCode.NOT_IN_FORCE if behind else ExitCode.SUCCESS
 
 
 def _print_json(fleet: FleetStatus, accepted: int, warnings: list[str]) -> None:
@@ -51,9 +51,9 @@
             "role": status.member.role,
             "datacentre": status.member.datacentre,
             "service": status.member.service,
-            "state": _state(status),
+            "state": _member_state(status),
             "revision": status.revision,
-            "behind": _behind(status, accepted),
+            "behind": _revisions_behind(status, accepted),
             "silent_seconds": status.silent_seconds,
         }
         for status in fleet.members()
@@ -68,9 +68,9 @@
             status.member.role,
             status.member.datacentre,
             status.member.service,
-            _state(status),
+            _member_state(status),
             status.revision,
-            _behind(status, accepted),
+            _revisions_behind(status, accepted),
         )
         for status in fleet.members()
     ]
@@ -79,12 +79,12 @@
         print(f"warning: {warning}")
 
 
-def _state(status: MemberStatus) -> str:
+def _member_state(status: MemberStatus) -> str:
     if status.member.leaving:
         return "leaving"
     return "unheard" if status.silent_seconds < 0 else "live"
 
 
-def _behind(status: MemberStatus, accepted: int) -> int:
-    """Return by how many revisions a daemon is behind."""
+def _revisions_behind(status: MemberStatus, accepted: int) -> int:
+    """Return by how many revisions a daemon is behind the accepted one."""
     return max(0, accepted - max(0, status.revision))
--- a/packages/cornelspan-control/src/cornelspan_control/dispatch.py
+++ b/packages/cornelspan-control/src/cornelspan_control/dispatch.py
@@ -15,7 +15,7 @@
     Verdict,
 )
 from cornelspan_common.packets import Message
-from cornelspan_common.service_levels import Sealed, ServiceCounts
+from cornelspan_common.service_levels import SealedMinute, ServiceCounts
 from cornelspan_common.streams import Peer
 from cornelspan_control.failure_detection import FailureDetector, handle_suspect
 from cornelspan_control.plane import Plane, Subscriber
@@ -27,8 +27,9 @@
 ) -> None:
     """Handle one message.
 
-    A message that this daemon doesn't handle is counted as refused, for example
-    service-level counts on a daemon that doesn't collect them.
+    A message that this daemon doesn't handle is ignored and counted in
+    ``peer.refused``, for example service-level counts on a daemon that doesn't collect
+    them.
     """
     match message:
         case Heartbeat():
@@ -46,12 +47,14 @@
         case RevisionRequest():
             _send_newer(plane, peer, message.revision)
         case Suspect():
-            plane.tasks.start(handle_suspect(plane, peer, message), name="witness")
+            plane.tasks.start(
+                handle_suspect(plane, peer, message), name="answer suspect"
+            )
         case Verdict():
             detector.receive_verdict(message)
         case ServiceCounts() if plane.collect_counts is not None:
             peer.send(plane.collect_counts(message, peer.hello.datacentre))
-        case Sealed():
+        case SealedMinute():
             plane.on_counts_stored(message.minute)
         case StatusRequest():
             peer.send(status_of(plane))
--- a/packages/cornelspan-control/src/cornelspan_control/plane.py
+++ b/packages/cornelspan-control/src/cornelspan_control/plane.py
@@ -17,7 +17,7 @@
 )
 from cornelspan_common.logs import get_log
 from cornelspan_common.packets import Hello, Message
-from cornelspan_common.service_levels import Sealed, ServiceCounts
+from cornelspan_common.service_levels import SealedMinute, ServiceCounts
 from cornelspan_common.settings import DaemonSettings
 from cornelspan_common.streams import Peer
 from cornelspan_common.tasks import Tasks
@@ -63,15 +63,15 @@
     Attributes:
         on_new_incarnation: Called with a new incarnation number when other processes
             have removed the current one while this daemon is alive.
-        collect_counts: On relays, takes an agent's service-level counts and the
+        collect_counts: On balancers, takes an agent's service-level counts and the
             agent's data centre; returns up to which minute they are stored.
         on_counts_stored: On agents, called with the minute up to which the relay has
             stored the service-level counts.
         subscribers: Subscriptions by stream, not by name. A process that connects
             again while its first stream is open has two; closing one must not remove
             the subscription of the other.
-        last_heard: Monotonic time of the last message from each member of this data
-            centre.
+        last_heard: Monotonic time of the last message from each member; for one that
+            has sent nothing to this daemon, when it was first announced here.
         last_heartbeats: The last heartbeat of each member.
         silent_relays: Relays that have sent nothing to this daemon for too long or
             can't be connected, with the monotonic time at which that was found.
@@ -96,7 +96,7 @@
     on_configuration: Callback
     tls: ssl.SSLContext | None = None
     send_to_relays: Callable[[Message], None] = lambda message: None
-    collect_counts: Callable[[ServiceCounts, str], Sealed] | None = None
+    collect_counts: Callable[[ServiceCounts, str], SealedMinute] | None = None
     on_counts_stored: Callable[[int], None] = lambda minute: None
     subscribers: dict[Peer, Subscriber] = field(default_factory=dict)
     last_heard: dict[str, float] = field(default_factory=dict)
@@ -154,9 +154,9 @@
     def datacentres_as_primary(self) -> list[str]:
         """Return the data centres whose primary relay this daemon is.
 
-        The primary relay runs failure detection and writes the list of members to the
-        store. Only balancers are relays. A data centre without balancers has its relays
-        in other data centres.
+        The primary relay runs failure detection and writes the roster to the store.
+        Only balancers are relays. A data centre without balancers has its relays in
+        other data centres.
         """
         if self.announcement().role != "balancer":
             return []
--- a/packages/cornelspan-control/src/cornelspan_control/relay_links.py
+++ b/packages/cornelspan-control/src/cornelspan_control/relay_links.py
@@ -102,7 +102,7 @@
             member = self.plane.members.known[name]
             self._update_scope(name, scope)
             self.last_heard.setdefault(name, now)
-            self.links.want(name, Address(host=member.host, port=member.port))
+            self.links.keep_open(name, Address(host=member.host, port=member.port))
         for name in set(self.last_heard) - set(wanted):
             del self.last_heard[name]
             self.scopes.pop(name, None)
@@ -200,7 +200,9 @@
                         await self._exchange(peer)
                         return
                     case Err(error):
-                        log.debug("seed not reachable", extra={"why": str(error)})
+                        log.debug(
+                            "could not open stream to seed", extra={"why": str(error)}
+                        )
 
     async def _exchange(self, peer: Peer) -> None:
         plane = self.plane
--- a/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
+++ b/packages/cornelspan-ownership/src/cornelspan_ownership/peers.py
@@ -58,10 +58,10 @@
         return AgentId(name, incarnation) if incarnation else None
 
     def is_gone(self, name: str, incarnation: int) -> bool:
-        """Whether an incarnation of an agent has ended.
+        """Whether an incarnation of an agent is known here to have ended.
 
-        With 0, whether any incarnation of that name has ended, even if a newer one is
-        alive; always true for this agent's own name.
+        With 0, whether the removal of any incarnation of that name is recorded, even if
+        a newer one is alive; with 0 and this agent's own name always true.
         """
         if name == self.agent_id.name:
             return incarnation < self.agent_id.incarnation
@@ -118,7 +118,7 @@
 
 
 class PeerCalls:
-    """Requests to peers, matched with their answers by peer and request number."""
+    """Requests to peers, matched with their answers by peer and question number."""
 
     def __init__(self, send: Callable[[str, Message], bool]) -> None:
         self.send = send
@@ -133,7 +133,7 @@
             An answer for each name, or an error for a peer that can't be reached, is
             gone or has not answered within ``CALL_TIMEOUT_SECONDS``.
         """
-        keys = [(name, message.question) for name in names]
+        keys = [(name, message.query_id) for name in names]
         loop = asyncio.get_running_loop()
         futures = [loop.create_future() for _ in keys]
         self.pending.update(zip(keys, futures, strict=True))
@@ -152,7 +152,7 @@
 
     def handle_answer(self, name: str, answer: Answer) -> None:
         """Complete the call that an answer belongs to; ignore a late answer."""
-        future = self.pending.get((name, answer.question))
+        future = self.pending.get((name, answer.query_id))
         if future is not None and not future.done():
             future.set_result(Ok(answer))
 
--- a/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
+++ b/packages/cornelspan-passthrough/src/cornelspan_passthrough/agent.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from cornelspan_common.bounded_logs import complaint_bucket
-from cornelspan_common.ejection import Judgement
-from cornelspan_common.expiring import Expiring
+from cornelspan_common.bounded_logs import invalid_record_bucket
+from cornelspan_common.ejection import EjectionState
+from cornelspan_common.expiring import ExpiringMap
 from cornelspan_common.logs import get_log, set_level
 from cornelspan_passthrough import messages
 from cornelspan_passthrough.datagrams import DatagramSocket
@@ -72,7 +72,8 @@
 # waiting.
 BUSY_FACTOR = 2
 # A flow's first request follows its first packet after a round trip to the client.
-# Flows that started within this time are counted as expected requests.
+# Flows that started within this time count as requests that are about to arrive. If
+# the request has arrived already, the flow counts twice.
 FIRST_REQUEST_SECONDS = 0.02
 
 log = get_log(__name__)
@@ -111,10 +112,12 @@
         settings = self.settings
         retention_seconds = settings.flow_seconds * RETENTION_FACTOR
         self.flows = FlowTable(retention_seconds)
-        self.owner_records: Expiring[int] = Expiring(idle_seconds=retention_seconds)
+        self.owner_records: ExpiringMap[int] = ExpiringMap(
+            idle_seconds=retention_seconds
+        )
         self.request_queue = RequestQueue()
-        self.outlier_detector = Judgement()
-        self.log_rate_limit = complaint_bucket()
+        self.outlier_detector = EjectionState()
+        self.log_rate_limit = invalid_record_bucket()
         self.waiting_times = Histogram()
         self.endpoint = Endpoint(
             settings.service, settings.report_milliseconds / 1000, self.started_at
@@ -217,8 +220,8 @@
         balancer sends its share to the same idle endpoint before that balancer learns
         of the others' flows.
         """
-        expected_requests = self.flows.started_since(now - FIRST_REQUEST_SECONDS)
-        work = self.flows.running + len(self.request_queue) + expected_requests
+        recently_started_flows = self.flows.started_since(now - FIRST_REQUEST_SECONDS)
+        work = self.flows.running + len(self.request_queue) + recently_started_flows
         return work >= BUSY_FACTOR * self.endpoint.capacity + self.requests_beyond_slots
 
     def _reject(self, flow: int, reason: int, packet: bytes, balancer: str) -> None:
@@ -302,10 +305,12 @@
         release_requests(self, now)
 
     def _learn_flow(self, header: PacketHeader, now: float) -> TrackedFlow:
-        """Add an unknown flow that the endpoint holds, and tell the balancer the owner.
+        """Add an unknown flow of which the endpoint has sent a packet.
 
-        Usually the flow opened before this process started. Its homes are unknown here;
-        a balancer that had to search for the owner updates them.
+        Usually the flow opened before this process started. If a balancer's packet of
+        it was forwarded to the endpoint, that balancer is told that this agent is the
+        owner. The flow's homes are unknown here; a balancer that had to search for the
+        owner tells them.
         """
         balancer = self.unconfirmed_packets.pop(
             header.flow, NO_UNCONFIRMED_PACKET
@@ -370,7 +375,7 @@
             log_endpoint(self, "endpoint state changed")
             self.send_pongs(now)
         if outcome is ReportOutcome.REPLACED_INCARNATION:
-            self.outlier_detector = Judgement()
+            self.outlier_detector = EjectionState()
             reset_flows(self, "endpoint restarted", before=last_report_at)
         return outcome
 
--- a/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
+++ b/packages/cornelspan-requests/src/cornelspan_requests/handoff.py
@@ -16,10 +16,10 @@
 
 from cornelspan_common.packets import Message
 from cornelspan_common.requests import (
+    AnswerAck,
     AnswerFailed,
     AnswerPart,
     AnswerStart,
-    AnswerTaken,
     RequestCancel,
     RequestPart,
     RequestStart,
@@ -174,7 +174,7 @@
                 self._receive_part(sender, message)
             case RequestCancel(number):
                 self._cancel(sender, number)
-            case AnswerTaken(number, size):
+            case AnswerAck(number, size):
                 received = self.incoming.get((sender, number))
                 if received is not None:
                     received.acknowledge(size)
@@ -207,13 +207,14 @@
         )
         if not self.send_message(name, start):
             return False
-        for at in range(0, max(1, len(request.body)), PART_BYTES):
-            part = request.body[at : at + PART_BYTES]
-            last = at + PART_BYTES >= len(request.body)
-            if not self.send_message(name, RequestPart(number, at, part, last)):
+        for offset in range(0, max(1, len(request.body)), PART_BYTES):
+            part = request.body[offset : offset + PART_BYTES]
+            last = offset + PART_BYTES >= len(request.body)
+            if not self.send_message(name, RequestPart(number, offset, part, last)):
                 return False
             if not last:
-                # One part per iteration of the event loop keeps frames within limits.
+                # The messages of one iteration of the event loop are sent as one frame,
+                # whose size is limited.
                 await asyncio.sleep(0)
         return True
 
@@ -243,7 +244,7 @@
                     caller_waiting = await sink.write(body)
                     if last:
                         return Ok(status)
-                    self.send_message(sent.name, AnswerTaken(number, len(body)))
+                    self.send_message(sent.name, AnswerAck(number, len(body)))
             if not caller_waiting:
                 self.send_message(sent.name, RequestCancel(number))
                 return Err(Failure(RequestOutcome.UNKNOWN, Reason.CANCELLED))
